--- a/crates/benchlink/src/host.rs
+++ b/crates/benchlink/src/host.rs
@@ -4,8 +4,8 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
 use beaconshore::interface::{
-    Action, Ended, Entry, Event, GroupId, ListKind, Listed, MemberId, MemberUpdate, Note, Outcome, Report,
-    Request, RequestId, Role, SessionId, ZoneId,
+    Action, AttemptResult, Event, GroupId, ListEntry, ListKind, ListedState, MemberId, MemberUpdate, Outcome,
+    ReplyStatus, Report, Request, RequestId, Role, SessionId, ZoneId,
 };
 use beaconshore::Router;
 use beaconshore_settings::{Dialect, ReportField, Site};
@@ -55,7 +55,7 @@
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u32, Instance>,
-    tables: BTreeMap<u8, Vec<Entry>>,
+    tables: BTreeMap<u8, Vec<ListEntry>>,
 }
 
 impl Host {
@@ -123,7 +123,7 @@
         .unwrap_or_else(|| "the module failed".to_string())
 }
 
-fn catalog(r: &mut Reader) -> Result<(u8, Vec<Entry>), String> {
+fn catalog(r: &mut Reader) -> Result<(u8, Vec<ListEntry>), String> {
     let table = r.u8()?;
     if table >= TABLES {
         return Err(format!("table {table} is over {}", TABLES - 1));
@@ -136,11 +136,11 @@
     Ok((table, entries))
 }
 
-fn entry(r: &mut Reader) -> Result<Entry, String> {
+fn entry(r: &mut Reader) -> Result<ListEntry, String> {
     let listed = match r.u8()? {
-        0 => Listed::Gone,
-        1 => Listed::Ready,
-        2 => Listed::Draining,
+        0 => ListedState::Gone,
+        1 => ListedState::Ready,
+        2 => ListedState::Draining,
         other => return Err(format!("list entry: health {other} is not known")),
     };
     let zone = ZoneId(r.u16()?);
@@ -150,13 +150,13 @@
     let primary = r.f32()? == 1.0;
     let member = MemberId(r.u32()?);
     let _capacity_hint = r.f32()?;
-    Ok(Entry { member, group, zone, listed, started, primary })
+    Ok(ListEntry { member, group, zone, listed, started, primary })
 }
 
 fn event<'t>(
     code: u8,
     r: &mut Reader,
-    tables: &'t BTreeMap<u8, Vec<Entry>>,
+    tables: &'t BTreeMap<u8, Vec<ListEntry>>,
     dialect: &Dialect,
 ) -> Result<Option<Event<'t>>, String> {
     Ok(Some(match code {
@@ -188,9 +188,9 @@
             let took = u64::from(r.u32()?);
             let finished = r.u8()? != 0;
             let report = report(r, dialect)?;
-            Event::AttemptEnded(Ended { request, member, outcome, note, took, finished, report })
+            Event::AttemptEnded(AttemptResult { request, member, outcome, note, took, finished, report })
         }
-        code::HANGUP => Event::HungUp(RequestId(r.u64()?)),
+        code::HANGUP => Event::ClientDisconnected(RequestId(r.u64()?)),
         code::REMINDER => {
             let _name = r.u32()?;
             Event::Timer
@@ -228,12 +228,12 @@
 fn outcome(code: u16) -> Result<Outcome, String> {
     Ok(match code {
         200 => Outcome::Served,
-        404 => Outcome::Misplaced,
-        410 => Outcome::Moot,
+        404 => Outcome::Misdirected,
+        410 => Outcome::NeverSent,
         499 => Outcome::Cancelled,
         500 => Outcome::Error,
         502 => Outcome::Unreachable,
-        503 => Outcome::Full,
+        503 => Outcome::Rejected,
         504 => Outcome::TimedOut,
         598 => Outcome::Reset,
         other => return Err(format!("outcome {other} is not known")),
@@ -267,14 +267,14 @@
     u32::try_from(ms << 2 | role).unwrap_or(0)
 }
 
-fn note(raw: u32, dialect: &Dialect) -> Note {
+fn note(raw: u32, dialect: &Dialect) -> ReplyStatus {
     let role = match raw & 3 {
         1 => Some(Role::Primary),
         2 => Some(Role::Replica),
         _ => None,
     };
     let ms = u64::from(raw >> 2);
-    Note { position: (ms > 0).then(|| dialect.zero.saturating_add(ms * 1000)), role }
+    ReplyStatus { position: (ms > 0).then(|| dialect.zero.saturating_add(ms * 1000)), role }
 }
 
 fn report(r: &mut Reader, dialect: &Dialect) -> Result<Report, String> {
@@ -316,7 +316,7 @@
         Action::CloseIdle(member) => {
             reply.record(code::DROP_CONNS, &[&driver_bytes, &member.0.to_le_bytes()]);
         }
-        Action::TellPeers(words) => words.chunks(MESSAGE_WORDS).for_each(|chunk| {
+        Action::SendPeerUpdates(words) => words.chunks(MESSAGE_WORDS).for_each(|chunk| {
             let data: Vec<u8> = chunk
                 .iter()
                 .flat_map(|w| [w.member.0.to_le_bytes(), note_of(w, dialect).to_le_bytes()].concat())
--- a/crates/benchlink/src/host/tests.rs
+++ b/crates/benchlink/src/host/tests.rs
@@ -229,7 +229,7 @@
     };
     let sent = [word(7, 42_000, Some(Role::Primary)), word(9, 41_999, Some(Role::Replica)), word(8, 1, None)];
     let mut reply = Reply::new(1);
-    write(DRIVER, &Action::TellPeers(sent.to_vec()), &dialect, &mut reply);
+    write(DRIVER, &Action::SendPeerUpdates(sent.to_vec()), &dialect, &mut reply);
     let posts = records(&reply.finish());
     let (code, fields) = &posts[0];
     assert_eq!((*code, posts.len(), fields.len()), (code::POST, 1, 4 + 2 + 2 + 3 * 8));
@@ -237,6 +237,6 @@
     assert_eq!(words(&fields[8..fields.len() - 1], &dialect), sent[..2], "a cut word is passed over");
     let many = vec![sent[0].clone(); 40];
     let mut reply = Reply::new(1);
-    write(DRIVER, &Action::TellPeers(many), &dialect, &mut reply);
+    write(DRIVER, &Action::SendPeerUpdates(many), &dialect, &mut reply);
     assert!(records(&reply.finish()).iter().all(|(_, fields)| fields.len() <= 8 + 256));
 }
--- a/crates/driver/src/member/connection.rs
+++ b/crates/driver/src/member/connection.rs
@@ -75,7 +75,7 @@
         let present = Present { now: node.clock.now(), lists, withdrawn };
         let step = departure.next(present);
         match (step, &mut connection) {
-            (Next::GiveUp, _) => return Err((Outcome::Moot, connection.filter(|_| written == 0))),
+            (Next::GiveUp, _) => return Err((Outcome::NeverSent, connection.filter(|_| written == 0))),
             (Next::Connect, _) | (Next::Write, None) => match until(ends, open(node, address)).await {
                 Some(Ok(up)) => {
                     connection = Some(up);
@@ -83,7 +83,7 @@
                 }
                 Some(Err(outcome)) => return Err((outcome, None)),
                 // Its own time ran out: that says nothing of the member.
-                None => return Err((Outcome::Moot, None)),
+                None => return Err((Outcome::NeverSent, None)),
             },
             (Next::Ask, _) => {
                 let told = module.confirm(attempt.request, id).await;
@@ -102,14 +102,14 @@
                         match until(ends, up.stream.writable()).await {
                             Some(Ok(())) => {}
                             Some(Err(_)) => return Err((Outcome::Unreachable, None)),
-                            None => return Err((Outcome::Moot, None)),
+                            None => return Err((Outcome::NeverSent, None)),
                         }
                     }
                     Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                     Err(_) => return Err((Outcome::Unreachable, None)),
                 }
                 if written == query.len() {
-                    return connection.ok_or((Outcome::Moot, None));
+                    return connection.ok_or((Outcome::NeverSent, None));
                 }
             }
         }
@@ -194,7 +194,7 @@
                 let ready = match message {
                     Backend::Error(code, _) => {
                         let full = code == sqlstate::TOO_MANY_CONNECTIONS.as_bytes();
-                        return Err(if full { Outcome::Full } else { Outcome::Unreachable });
+                        return Err(if full { Outcome::Rejected } else { Outcome::Unreachable });
                     }
                     Backend::Authentication(1..) => return Err(Outcome::Unreachable),
                     message => message == Backend::Ready,
--- a/crates/driver/src/member/reply.rs
+++ b/crates/driver/src/member/reply.rs
@@ -148,8 +148,8 @@
 /// The outcome that a member's error stands for.
 fn outcome_of(code: &[u8]) -> Outcome {
     match std::str::from_utf8(code) {
-        Ok(sqlstate::READ_ONLY | sqlstate::SNAPSHOT_TOO_OLD) => Outcome::Misplaced,
-        Ok(sqlstate::TOO_MANY_CONNECTIONS) => Outcome::Full,
+        Ok(sqlstate::READ_ONLY | sqlstate::SNAPSHOT_TOO_OLD) => Outcome::Misdirected,
+        Ok(sqlstate::TOO_MANY_CONNECTIONS) => Outcome::Rejected,
         _ => Outcome::Error,
     }
 }
--- a/crates/driver/src/member/told.rs
+++ b/crates/driver/src/member/told.rs
@@ -2,7 +2,7 @@
 //!
 //! Owns nothing; reads text, and passes over what can't be read. Never decides what it means.
 
-use beaconshore::interface::{Micros, Note, Report, Role};
+use beaconshore::interface::{Micros, ReplyStatus, Report, Role};
 use beaconshore_settings::ReportField;
 
 use crate::listing::{FOLLOWER, LEADER};
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Told {
     /// With the answer.
-    pub note: Note,
+    pub note: ReplyStatus,
     /// In a load report.
     pub report: Report,
 }
--- a/crates/driver/src/module/mod.rs
+++ b/crates/driver/src/module/mod.rs
@@ -13,8 +13,8 @@
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use beaconshore::interface::{
-    Action, Ended, Entry, Event, GroupId, ListKind, Listed, MemberId, MemberUpdate, Micros, Outcome, Request,
-    RequestId, Role, SpillLoan, ZoneId,
+    Action, AttemptResult, Event, GroupId, ListEntry, ListKind, ListedState, MemberId, MemberUpdate, Micros,
+    Outcome, Request, RequestId, Role, SpillLoan, ZoneId,
 };
 use beaconshore_steering::{Connection, Steering};
 use futures_lite::future;
@@ -207,11 +207,11 @@
         let says =
             |i: &Instance| i.lifecycle != Lifecycle::Gone || self.ids.contains_key(i.instance_id.as_str());
         let instances: Vec<Instance> = listing.instances.into_iter().filter(says).collect();
-        let entries: Vec<Entry> = instances.into_iter().map(|i| self.entry(i)).collect();
+        let entries: Vec<ListEntry> = instances.into_iter().map(|i| self.entry(i)).collect();
         self.handle(&Event::List(kind, &entries));
     }
 
-    fn entry(&mut self, instance: Instance) -> Entry {
+    fn entry(&mut self, instance: Instance) -> ListEntry {
         let address = instance.host_port;
         let member = match self.ids.get(instance.instance_id.as_str()) {
             Some(&id) => id,
@@ -230,14 +230,14 @@
             known.actor.iter().for_each(|actor| drop(actor.try_send(MemberMail::Address(address))));
         }
         let zone = self.node.site.dialect.zones.iter().position(|name| *name == instance.zone);
-        Entry {
+        ListEntry {
             member,
             group: GroupId(instance.cell),
             zone: ZoneId(zone.map_or(u16::MAX, |index| index as u16)),
             listed: match instance.lifecycle {
-                Lifecycle::Ready => Listed::Ready,
-                Lifecycle::Draining => Listed::Draining,
-                Lifecycle::Gone => Listed::Gone,
+                Lifecycle::Ready => ListedState::Ready,
+                Lifecycle::Draining => ListedState::Draining,
+                Lifecycle::Gone => ListedState::Gone,
             },
             started: Some(instance.started_at_ms.saturating_mul(1000))
                 .filter(|&at| at > 0)
@@ -280,14 +280,14 @@
         if let Some(member) = out {
             self.mail_member(member, MemberMail::Cancel(id));
         }
-        self.handle(&Event::HungUp(id));
+        self.handle(&Event::ClientDisconnected(id));
     }
 
     /// Fails what is open: nothing is promised of it.
     fn finish(&mut self) {
         for (id, open) in self.open.finish() {
             open.out.into_iter().for_each(|member| self.mail_member(member, MemberMail::Cancel(id)));
-            self.handle(&Event::HungUp(id));
+            self.handle(&Event::ClientDisconnected(id));
             self.node.stats.count(Counter::Failed);
             if !open.tried {
                 self.node.stats.count(Counter::Untried);
@@ -301,12 +301,12 @@
         self.node.stats.check(self.open.ended(request, member), "an attempt that ends was out");
         let counter = match outcome {
             Outcome::Error => Some(Counter::Errors),
-            Outcome::Full => Some(Counter::TurnedAway),
-            Outcome::Misplaced => Some(Counter::Misplaced),
+            Outcome::Rejected => Some(Counter::TurnedAway),
+            Outcome::Misdirected => Some(Counter::Misplaced),
             Outcome::Unreachable => Some(Counter::Unreachable),
             Outcome::Reset => Some(Counter::Resets),
             Outcome::TimedOut => Some(Counter::TimedOut),
-            Outcome::Moot => Some(Counter::Unsent),
+            Outcome::NeverSent => Some(Counter::Unsent),
             // Counted with the request.
             Outcome::Served | Outcome::Cancelled => None,
         };
@@ -322,7 +322,15 @@
         for position in [&mut note.position, &mut report.position] {
             *position = position.map(|p| self.node.skew.ours(p));
         }
-        self.handle(&Event::AttemptEnded(Ended { request, member, outcome, note, took, finished, report }));
+        self.handle(&Event::AttemptEnded(AttemptResult {
+            request,
+            member,
+            outcome,
+            note,
+            took,
+            finished,
+            report,
+        }));
     }
 
     /// A primary said that it was this time just now.
@@ -358,7 +366,7 @@
             Action::CloseIdle(member) => self.mail_member(member, MemberMail::CloseIdle),
             Action::Probe(member) => self.mail_member(member, MemberMail::Probe),
             Action::Forget(member) => self.forget(member),
-            Action::TellPeers(words) => self.tell(&words),
+            Action::SendPeerUpdates(words) => self.tell(&words),
             Action::SpillLoans(loans) => self.send_loans(loans),
             Action::SetTimer(after) => {
                 self.due = Some(self.node.clock.instant(now + after));
@@ -457,7 +465,7 @@
         for id in self.open.overdue(now) {
             warn!("request {} was not decided in time", id.0);
             self.node.stats.check(false, "every request is answered in time");
-            self.handle_at(now, &Event::HungUp(id));
+            self.handle_at(now, &Event::ClientDisconnected(id));
             self.answer(id, Answer::Failed);
         }
     }
--- a/crates/driver/src/stats.rs
+++ b/crates/driver/src/stats.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use async_io::Timer;
-use beaconshore::sizes::Sizes;
+use beaconshore::sizes::TableSizes;
 use beaconshore_zones::planner::ZoneStatus;
 use log::{info, warn};
 
@@ -103,7 +103,7 @@
 #[derive(Debug)]
 pub struct Stats {
     counts: [Cell<u64>; NAMES.len()],
-    sizes: Cell<Sizes>,
+    sizes: Cell<TableSizes>,
     zones: RefCell<Vec<ZoneStatus>>,
 }
 
@@ -153,7 +153,7 @@
     }
 
     /// Notes the sizes of the decision module's tables.
-    pub fn note(&self, sizes: Sizes) {
+    pub fn note(&self, sizes: TableSizes) {
         self.sizes.set(sizes);
     }
 
@@ -170,7 +170,7 @@
 
 /// What the driver holds, in one line.
 pub fn holdings(node: &Node) -> String {
-    let Sizes { members, groups, requests, sessions } = node.stats.sizes.get();
+    let TableSizes { members, groups, requests, sessions } = node.stats.sizes.get();
     let (clients, connections) = (node.descriptors.clients.taken(), node.descriptors.members.taken());
     let mut line = format!(
         "members={members} groups={groups} requests={requests} sessions={sessions} ids={} clients={clients} \
--- a/crates/driver/tests/explore_attempt.rs
+++ b/crates/driver/tests/explore_attempt.rs
@@ -122,7 +122,7 @@
         }
         for cut in 0..=refusal.len() {
             let (outcome, _) = outcome_of(&refusal, cut, then);
-            assert_eq!(outcome == Outcome::Full, cut >= told, "cut at {cut}: {outcome:?}");
+            assert_eq!(outcome == Outcome::Rejected, cut >= told, "cut at {cut}: {outcome:?}");
             assert!(cut >= told || !outcome.never_ran(), "cut at {cut}: {outcome:?}");
         }
     }
--- a/crates/driver/tests/explore_life.rs
+++ b/crates/driver/tests/explore_life.rs
@@ -22,8 +22,8 @@
 
 fn settings() -> Settings {
     let class = |consistency, effect, deadline| {
-        let (aim, worth, late_worth) = (deadline / 2, 1.0, 0.5);
-        Class { consistency, effect, aim, deadline, worth, late_worth }
+        let (latency_target, value, late_value_share) = (deadline / 2, 1.0, 0.5);
+        Class { consistency, effect, latency_target, deadline, value, late_value_share }
     };
     Settings {
         routers: 1,
@@ -38,9 +38,9 @@
     }
 }
 
-fn entry(member: u32, listed: Listed) -> Entry {
+fn entry(member: u32, listed: ListedState) -> ListEntry {
     let (group, zone, started) = (GroupId(0), ZoneId(0), None);
-    Entry { member: MemberId(member), group, zone, listed, started, primary: member == 1 }
+    ListEntry { member: MemberId(member), group, zone, listed, started, primary: member == 1 }
 }
 
 /// What may happen from outside, each once, in any order.
@@ -111,7 +111,7 @@
     router: Router,
     open: Requests<()>,
     mail: VecDeque<Mail>,
-    lists: VecDeque<Entry>,
+    lists: VecDeque<ListEntry>,
     taken_in: u64,
     drained: bool,
     // The attempts'.
@@ -127,7 +127,7 @@
 impl Life {
     fn new(connected: bool) -> Life {
         let mut router = Router::new(settings(), 7, START);
-        let list = [entry(1, Listed::Ready), entry(2, Listed::Ready)];
+        let list = [entry(1, ListedState::Ready), entry(2, ListedState::Ready)];
         router.handle(START, &beaconshore::interface::Event::List(ListKind::Cached, &list), &mut Vec::new());
         let start = Instant::now();
         let mut life = Life {
@@ -170,7 +170,7 @@
                 self.arrived.extend(query(&text));
             }
             Event::Fin => self.fin = true,
-            Event::Drain => self.lists.push_back(entry(1, Listed::Draining)),
+            Event::Drain => self.lists.push_back(entry(1, ListedState::Draining)),
             Event::Serve => self.member(Outcome::Served),
             Event::Reset => self.member(Outcome::Reset),
             Event::Wait => self.now += WINDOW + 10 * MS,
@@ -283,12 +283,12 @@
                 Some(Mail::HungUp(id)) => {
                     let Some(out) = self.open.leave(id) else { continue };
                     out.into_iter().for_each(|_| self.cancel(id));
-                    self.handle(beaconshore::interface::Event::HungUp(id));
+                    self.handle(beaconshore::interface::Event::ClientDisconnected(id));
                 }
                 Some(Mail::Finish) => {
                     for (id, open) in self.open.finish() {
                         open.out.into_iter().for_each(|_| self.cancel(id));
-                        self.handle(beaconshore::interface::Event::HungUp(id));
+                        self.handle(beaconshore::interface::Event::ClientDisconnected(id));
                         self.answers.push_back((id, Answer::Failed));
                     }
                 }
@@ -302,8 +302,8 @@
                         self.answer(request, Answer::Served(Served::default()));
                     }
                     let finished = !self.open.is_open(request);
-                    let (note, took, report) = (Note::default(), 5 * MS, Report::default());
-                    let ended = Ended { request, member, outcome, note, took, finished, report };
+                    let (note, took, report) = (ReplyStatus::default(), 5 * MS, Report::default());
+                    let ended = AttemptResult { request, member, outcome, note, took, finished, report };
                     self.handle(beaconshore::interface::Event::AttemptEnded(ended));
                 }
             }
@@ -369,7 +369,7 @@
                     }
                     Next::GiveUp => {
                         let member = self.attempts.remove(&id).unwrap().member;
-                        self.mail.push_back(Mail::Ended(id, member, Outcome::Moot, false));
+                        self.mail.push_back(Mail::Ended(id, member, Outcome::NeverSent, false));
                         break;
                     }
                     Next::Write => {
--- a/crates/emulator/src/asking.rs
+++ b/crates/emulator/src/asking.rs
@@ -13,7 +13,7 @@
         let story = self.arrivals.draw(self.plan, now, counts);
         if counts {
             let second = self.day.second(now);
-            second.asked += self.plan.classes[story.class].class.worth;
+            second.asked += self.plan.classes[story.class].class.value;
             second.stories += 1;
         }
         let id = self.next_id();
@@ -67,13 +67,13 @@
         let took = now - story.asked;
         let second = self.day.second(story.asked);
         match answer {
-            Answer::Served(_) if took <= class.aim => {
+            Answer::Served(_) if took <= class.latency_target => {
                 second.in_time += 1;
-                second.earned += class.worth;
+                second.earned += class.value;
             }
             Answer::Served(_) if took <= class.deadline => {
                 second.late += 1;
-                second.earned += class.worth * class.late_worth;
+                second.earned += class.value * class.late_value_share;
             }
             _ => second.lost += 1,
         }
--- a/crates/emulator/src/attempts.rs
+++ b/crates/emulator/src/attempts.rs
@@ -1,6 +1,8 @@
 //! Attempts on their way: connections, writes, ends, resets.
 
-use beaconshore::interface::{Consistency, Ended, Event, MemberId, Micros, Note, Outcome, Report, RequestId};
+use beaconshore::interface::{
+    AttemptResult, Consistency, Event, MemberId, Micros, Outcome, ReplyStatus, Report, RequestId,
+};
 
 use crate::client::Answer;
 use crate::live::Welcome;
@@ -67,7 +69,7 @@
         let may = self.routers[router].steering.as_mut().is_none_or(|s| s.confirm(now, request, member));
         if !may {
             self.routers[router].idle[out.member].push(Idle { since: now, epoch });
-            return self.end(router, request, Outcome::Moot);
+            return self.end(router, request, Outcome::NeverSent);
         }
         self.write(router, request, epoch, self.plan.members.handshake);
     }
@@ -109,7 +111,7 @@
 
     /// An attempt ends without an answer.
     pub(crate) fn end(&mut self, router: usize, request: RequestId, outcome: Outcome) {
-        self.ended(router, request, outcome, Note::default(), Report::default());
+        self.ended(router, request, outcome, ReplyStatus::default(), Report::default());
     }
 
     pub(crate) fn ended(
@@ -117,7 +119,7 @@
         router: usize,
         request: RequestId,
         outcome: Outcome,
-        note: Note,
+        note: ReplyStatus,
         report: Report,
     ) {
         let now = self.now();
@@ -142,7 +144,7 @@
             }
             return;
         }
-        let event = Event::AttemptEnded(Ended {
+        let event = Event::AttemptEnded(AttemptResult {
             request,
             member: MemberId(out.member as u32),
             outcome,
--- a/crates/emulator/src/audit.rs
+++ b/crates/emulator/src/audit.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-use beaconshore::interface::{Consistency, Effect, Listed, Micros, RequestId, Role};
+use beaconshore::interface::{Consistency, Effect, ListedState, Micros, RequestId, Role};
 
 use crate::plan::{Plan, DAWN, SECOND};
 
@@ -132,10 +132,12 @@
     }
 
     /// A router was told what the list says of a member.
-    pub fn told(&mut self, router: usize, member: usize, listed: Listed, now: Micros) {
+    pub fn told(&mut self, router: usize, member: usize, listed: ListedState, now: Micros) {
         match listed {
-            Listed::Ready => drop(self.barred.remove(&(router, member))),
-            Listed::Draining | Listed::Gone => drop(self.barred.entry((router, member)).or_insert(now)),
+            ListedState::Ready => drop(self.barred.remove(&(router, member))),
+            ListedState::Draining | ListedState::Gone => {
+                drop(self.barred.entry((router, member)).or_insert(now))
+            }
         }
     }
 
--- a/crates/emulator/src/deciding.rs
+++ b/crates/emulator/src/deciding.rs
@@ -1,6 +1,6 @@
 //! What baselines do in the place of a router.
 
-use beaconshore::interface::{Consistency, Listed, Outcome, RequestId};
+use beaconshore::interface::{Consistency, ListedState, Outcome, RequestId};
 
 use crate::baseline::{choose, Sight};
 use crate::client::Answer;
@@ -27,7 +27,7 @@
             let reachable =
                 self.network.passes(zone, m.zone, Way::Out) && self.network.passes(zone, m.zone, Way::Back);
             let known = self.routers[router].known.get(*member);
-            let listed = known.is_some_and(|e| e.listed == Listed::Ready);
+            let listed = known.is_some_and(|e| e.listed == ListedState::Ready);
             let alone = plan.work * self.plan.members.cores as f64;
             sights.push(Sight {
                 member: *member,
@@ -43,7 +43,11 @@
                 full,
             });
         }
-        let last = if plan.class.late_worth > 0.0 { open.ends } else { story.asked + plan.class.aim };
+        let last = if plan.class.late_value_share > 0.0 {
+            open.ends
+        } else {
+            story.asked + plan.class.latency_target
+        };
         let wait = last.saturating_sub(now) as f64;
         match choose(self.brains, plan.class.consistency, &sights, wait, &mut self.choices) {
             Some(member) => self.attempt(router, request, member, 0),
--- a/crates/emulator/src/discovery.rs
+++ b/crates/emulator/src/discovery.rs
@@ -1,6 +1,6 @@
 //! The list: what it holds of each member, and when routers are told. It is late, each router by its own time.
 
-use beaconshore::interface::{Entry, GroupId, Listed, MemberId, Micros, ZoneId};
+use beaconshore::interface::{GroupId, ListEntry, ListedState, MemberId, Micros, ZoneId};
 
 use crate::draws::Draws;
 use crate::plan::DiscoveryPlan;
@@ -8,7 +8,7 @@
 /// The list.
 pub struct Discovery {
     plan: DiscoveryPlan,
-    entries: Vec<Entry>,
+    entries: Vec<ListEntry>,
     versions: Vec<u64>,
     draws: Draws,
     /// Strikes that silence it, and changes that wait for its voice.
@@ -32,23 +32,23 @@
     /// A member of the first list.
     pub fn add(&mut self, group: usize, zone: usize, primary: bool) {
         self.versions.push(0);
-        self.entries.push(Entry {
+        self.entries.push(ListEntry {
             member: MemberId(self.entries.len() as u32),
             group: GroupId(group as u32),
             zone: ZoneId(zone as u16),
-            listed: Listed::Ready,
+            listed: ListedState::Ready,
             started: None,
             primary,
         });
     }
 
     /// The whole list.
-    pub fn entries(&self) -> &[Entry] {
+    pub fn entries(&self) -> &[ListEntry] {
         &self.entries
     }
 
     /// What it says of a member, and how often that changed.
-    pub fn entry(&self, member: usize) -> (&Entry, u64) {
+    pub fn entry(&self, member: usize) -> (&ListEntry, u64) {
         (&self.entries[member], self.versions[member])
     }
 
@@ -68,7 +68,7 @@
     }
 
     /// A member's state changed; whether routers are to be told now.
-    pub fn change(&mut self, member: usize, change: impl FnOnce(&mut Entry)) -> bool {
+    pub fn change(&mut self, member: usize, change: impl FnOnce(&mut ListEntry)) -> bool {
         change(&mut self.entries[member]);
         self.versions[member] += 1;
         if !self.silenced.is_empty() {
--- a/crates/emulator/src/experiment.rs
+++ b/crates/emulator/src/experiment.rs
@@ -1,8 +1,8 @@
 //! An experiment's file, decoded, checked and turned into a plan. Every error says where, why, and what would do.
 
 use beaconshore::interface::{
-    Class, Consistency, DedupScope, Discovery, Effect, LagCheck, Limits, Micros, RuleFigures, SessionMarks,
-    Settings, ZoneId,
+    Class, Consistency, DedupScope, DiscoveryMode, Effect, LagCheck, Limits, Micros, RuleParameters,
+    SessionTracking, Settings, ZoneId,
 };
 use beaconshore_operator::text::{self, impossible, Problem};
 
@@ -170,8 +170,8 @@
             routers: (routers.per_zone * e.zone.len()) as u32,
             step: 5_000,
             classes: classes.iter().map(|c| c.class.clone()).collect(),
-            discovery: Discovery::Pushed,
-            session_marks: SessionMarks::Client,
+            discovery: DiscoveryMode::Pushed,
+            session_tracking: SessionTracking::Client,
             lag_check: LagCheck::Router,
             limits: Limits {
                 max_attempts: 8,
@@ -326,10 +326,10 @@
         let class = Class {
             consistency,
             effect,
-            aim: micros(within("aim_ms", c.aim_ms as f64, 1.0, deadline)?),
+            latency_target: micros(within("aim_ms", c.aim_ms as f64, 1.0, deadline)?),
             deadline: micros(deadline),
-            worth: within("worth", c.worth, 0.0, 1e6)?,
-            late_worth: within("late_worth", c.late_worth.unwrap_or(0.0), 0.0, 1.0)?,
+            value: within("worth", c.worth, 0.0, 1e6)?,
+            late_value_share: within("late_worth", c.late_worth.unwrap_or(0.0), 0.0, 1.0)?,
         };
         Ok(ClassPlan {
             name: c.name.clone(),
@@ -384,15 +384,20 @@
         Ok(plan)
     }
 
-    fn rules(&self) -> Result<(RuleFigures, Micros), Problem> {
+    fn rules(&self) -> Result<(RuleParameters, Micros), Problem> {
         let r = self.e.rules.unwrap_or_default();
-        let figures = RuleFigures {
-            ask_within: 10 * SECOND,
+        let figures = RuleParameters {
+            resubscribe_within: 10 * SECOND,
             only_draining_binds: false,
             cold_share: self.within("rules.cold_share", r.cold_share.unwrap_or(0.2), 0.01, 1.0)?,
-            warm_within: r.warm_ms.unwrap_or(12_000).saturating_mul(1000),
-            fall_multiple: self.within("rules.fall_multiple", r.fall_multiple.unwrap_or(2.0), 1.0, 100.0)?,
-            fall_window: r.fall_ms.unwrap_or(1_500).saturating_mul(1000),
+            warm_up_time: r.warm_ms.unwrap_or(12_000).saturating_mul(1000),
+            overload_multiple: self.within(
+                "rules.fall_multiple",
+                r.fall_multiple.unwrap_or(2.0),
+                1.0,
+                100.0,
+            )?,
+            overload_window: r.fall_ms.unwrap_or(1_500).saturating_mul(1000),
         };
         Ok((figures, r.drain_ms.unwrap_or(500).saturating_mul(1000)))
     }
--- a/crates/emulator/src/faults.rs
+++ b/crates/emulator/src/faults.rs
@@ -1,6 +1,6 @@
 //! What strikes a day: faults begin and end by the experiment's timeline, members die and return, groups elect.
 
-use beaconshore::interface::{Listed, Micros};
+use beaconshore::interface::{ListedState, Micros};
 
 use crate::member::Health;
 use crate::plan::{Fault, Leave, Struck, DAWN};
@@ -162,7 +162,7 @@
             self.lost(member);
         }
         let (epoch, silent) = (self.members[member].epoch, self.discovery.silent());
-        self.queue.after(silent, Ev::Notice(member, epoch, Listed::Gone));
+        self.queue.after(silent, Ev::Notice(member, epoch, ListedState::Gone));
     }
 
     /// Connections to a process that is gone are reset.
@@ -199,7 +199,7 @@
         self.members[member].start(now);
         self.resume(member, behind);
         let (notice, epoch) = (self.discovery.notice() / 2, self.members[member].epoch);
-        self.queue.after(notice, Ev::Notice(member, epoch, Listed::Ready));
+        self.queue.after(notice, Ev::Notice(member, epoch, ListedState::Ready));
     }
 
     /// A member goes on from where it stood, or further back.
@@ -245,7 +245,7 @@
         let group = self.members[member].group;
         self.members[member].draining = true;
         let epoch = self.members[member].epoch;
-        self.queue.after(0, Ev::Notice(member, epoch, Listed::Draining));
+        self.queue.after(0, Ev::Notice(member, epoch, ListedState::Draining));
         if self.primaries[group].0 == Some(member) {
             let now = self.queue.now();
             self.advance(member);
@@ -258,7 +258,7 @@
 
     // ---- The list ----
 
-    pub(crate) fn notice(&mut self, member: usize, epoch: u32, listed: Listed) {
+    pub(crate) fn notice(&mut self, member: usize, epoch: u32, listed: ListedState) {
         if self.members[member].epoch != epoch {
             return;
         }
@@ -266,7 +266,7 @@
         let tell = self.discovery.change(member, |entry| {
             entry.listed = listed;
             entry.started = started;
-            if listed == Listed::Gone {
+            if listed == ListedState::Gone {
                 entry.primary = false;
             }
         });
--- a/crates/emulator/src/live.rs
+++ b/crates/emulator/src/live.rs
@@ -4,7 +4,7 @@
 //! Owns the day; what it wants done outside it says as orders, and what happened there it is told. It opens no socket and
 //! reads no clock: whoever hosts it does. The audit goes by what members and clients saw, never by what a router says.
 
-use beaconshore::interface::{Entry, Micros, Outcome, Report, RequestId};
+use beaconshore::interface::{ListEntry, Micros, Outcome, Report, RequestId};
 
 use crate::audit::Audit;
 use crate::baseline::Brains;
@@ -41,7 +41,7 @@
     /// All connections between a router and a member are reset.
     Reset(usize, usize),
     /// A router's agent learns of a member.
-    News(usize, Box<Entry>),
+    News(usize, Box<ListEntry>),
 }
 
 /// A client's request.
@@ -73,7 +73,7 @@
     /// How the attempt ended.
     pub outcome: Outcome,
     /// What its note says.
-    pub note: beaconshore::interface::Note,
+    pub note: beaconshore::interface::ReplyStatus,
     /// What its report says.
     pub report: Report,
 }
@@ -126,7 +126,7 @@
     }
 
     /// The list as a router last had it.
-    pub fn known(&self, router: usize) -> &[Entry] {
+    pub fn known(&self, router: usize) -> &[ListEntry] {
         &self.world.routers[router].known
     }
 
--- a/crates/emulator/src/member.rs
+++ b/crates/emulator/src/member.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use beaconshore::interface::{Micros, RequestId, RuleFigures};
+use beaconshore::interface::{Micros, RequestId, RuleParameters};
 
 use crate::log::Applied;
 use crate::plan::MemberPlan;
@@ -123,14 +123,14 @@
     }
 
     /// Share of its capacity that it has now.
-    pub fn warmth(&self, rules: &RuleFigures, now: Micros) -> f64 {
+    pub fn warmth(&self, rules: &RuleParameters, now: Micros) -> f64 {
         let Some(started) = self.started else { return 1.0 };
-        let age = now.saturating_sub(started) as f64 / rules.warm_within.max(1) as f64;
+        let age = now.saturating_sub(started) as f64 / rules.warm_up_time.max(1) as f64;
         rules.cold_share + (1.0 - rules.cold_share) * age.min(1.0)
     }
 
     /// Work that it can do in a microsecond now, with all cores.
-    pub fn capacity(&self, rules: &RuleFigures, now: Micros) -> f64 {
+    pub fn capacity(&self, rules: &RuleParameters, now: Micros) -> f64 {
         self.cores as f64 * self.speed * self.warmth(rules, now) / self.slow
     }
 
@@ -152,7 +152,7 @@
     }
 
     /// A request comes in.
-    pub fn receive(&mut self, job: Job, rules: &RuleFigures, now: Micros) -> Received {
+    pub fn receive(&mut self, job: Job, rules: &RuleParameters, now: Micros) -> Received {
         self.came.push_back((now, job.work));
         self.came_sum += job.work;
         match self.running.iter().position(Option::is_none) {
@@ -165,7 +165,7 @@
         }
     }
 
-    fn run(&mut self, slot: usize, job: Job, rules: &RuleFigures, now: Micros) -> Micros {
+    fn run(&mut self, slot: usize, job: Job, rules: &RuleParameters, now: Micros) -> Micros {
         self.count_busy(now);
         let rate = self.speed * self.warmth(rules, now) / self.slow;
         let ends = now + (job.work / rate).max(1.0) as Micros;
@@ -174,7 +174,12 @@
     }
 
     /// A slot's request ends; the next in line begins, with its end.
-    pub fn finish(&mut self, slot: usize, rules: &RuleFigures, now: Micros) -> (Option<Job>, Option<Micros>) {
+    pub fn finish(
+        &mut self,
+        slot: usize,
+        rules: &RuleParameters,
+        now: Micros,
+    ) -> (Option<Job>, Option<Micros>) {
         self.count_busy(now);
         let done = self.running.get_mut(slot).and_then(Option::take);
         let next = self.waiting.pop_front();
@@ -188,19 +193,19 @@
     }
 
     /// Whether it is cold and has had more than half of what it bears within the window.
-    pub fn is_full_while_cold(&mut self, rules: &RuleFigures, now: Micros) -> bool {
+    pub fn is_full_while_cold(&mut self, rules: &RuleParameters, now: Micros) -> bool {
         self.is_pushed_over(rules, now); // Forgets what is older than the window.
-        let bound = rules.fall_multiple * self.capacity(rules, now) * rules.fall_window as f64;
+        let bound = rules.overload_multiple * self.capacity(rules, now) * rules.overload_window as f64;
         self.started.is_some() && self.warmth(rules, now) < 1.0 && self.came_sum > bound / 2.0
     }
 
     /// Whether it has just been pushed over: cold, and sent more than it may for the whole window.
-    pub fn is_pushed_over(&mut self, rules: &RuleFigures, now: Micros) -> bool {
-        let window = rules.fall_window.max(1);
+    pub fn is_pushed_over(&mut self, rules: &RuleParameters, now: Micros) -> bool {
+        let window = rules.overload_window.max(1);
         while self.came.front().is_some_and(|(at, _)| at + window <= now) {
             self.came_sum -= self.came.pop_front().map_or(0.0, |(_, work)| work);
         }
-        let bound = rules.fall_multiple * self.capacity(rules, now) * window as f64;
+        let bound = rules.overload_multiple * self.capacity(rules, now) * window as f64;
         if self.started.is_none() || self.warmth(rules, now) >= 1.0 || self.came_sum <= bound {
             return false;
         }
@@ -262,13 +267,13 @@
     use crate::log::Log;
     use crate::plan::SECOND;
 
-    const RULES: RuleFigures = RuleFigures {
-        ask_within: 0,
+    const RULES: RuleParameters = RuleParameters {
+        resubscribe_within: 0,
         only_draining_binds: false,
         cold_share: 0.2,
-        warm_within: 10 * SECOND,
-        fall_multiple: 2.0,
-        fall_window: SECOND,
+        warm_up_time: 10 * SECOND,
+        overload_multiple: 2.0,
+        overload_window: SECOND,
     };
 
     fn member() -> Member {
--- a/crates/emulator/src/plan.rs
+++ b/crates/emulator/src/plan.rs
@@ -1,6 +1,6 @@
 //! A day as it is to be played: an experiment's file in the emulator's terms.
 
-use beaconshore::interface::{Class, Micros, RuleFigures, Settings};
+use beaconshore::interface::{Class, Micros, RuleParameters, Settings};
 use beaconshore_zones::Policy;
 
 /// One second.
@@ -247,7 +247,7 @@
     }
 
     /// The figures of the rules.
-    pub fn rules(&self) -> &RuleFigures {
+    pub fn rules(&self) -> &RuleParameters {
         &self.settings.rules
     }
 
--- a/crates/emulator/src/router.rs
+++ b/crates/emulator/src/router.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use beaconshore::interface::{Entry, Micros, RequestId};
+use beaconshore::interface::{ListEntry, Micros, RequestId};
 use beaconshore_steering::Steering;
 
 /// An attempt that is out.
@@ -63,7 +63,7 @@
     /// Idle connections by member.
     pub idle: Vec<Vec<Idle>>,
     /// The list as it last had it.
-    pub known: Vec<Entry>,
+    pub known: Vec<ListEntry>,
     /// Versions of the list's entries that it was told.
     pub versions: Vec<u64>,
 }
--- a/crates/emulator/src/routing.rs
+++ b/crates/emulator/src/routing.rs
@@ -1,7 +1,7 @@
 //! What routers do in a day: they start, stop, hear of the list, take requests and answer them.
 
 use beaconshore::interface::{
-    Action, Consistency, Entry, Event, GroupId, ListKind, MemberId, Micros, Outcome, Report, Request,
+    Action, Consistency, Event, GroupId, ListEntry, ListKind, MemberId, Micros, Outcome, Report, Request,
     RequestId, SessionId, Settings, SpillLoan, ZoneId,
 };
 use beaconshore_steering::{Plans, Steering};
@@ -145,7 +145,7 @@
         }
     }
 
-    pub(crate) fn news(&mut self, router: usize, kind: ListKind, entries: &[Entry]) {
+    pub(crate) fn news(&mut self, router: usize, kind: ListKind, entries: &[ListEntry]) {
         let now = self.now();
         for entry in entries {
             let member = entry.member.0 as usize;
@@ -185,7 +185,7 @@
             }
             Action::Probe(member) => self.probe(process, member.0 as usize),
             Action::Forget(_) | Action::Subscribe => {}
-            Action::TellPeers(words) => {
+            Action::SendPeerUpdates(words) => {
                 self.day.second(now).told += 1;
                 self.tell_peers(router, |p| Some(Ev::Words(p, words.clone())));
             }
--- a/crates/emulator/src/serving.rs
+++ b/crates/emulator/src/serving.rs
@@ -1,6 +1,6 @@
 //! What members do with what reaches them, and what they say of themselves.
 
-use beaconshore::interface::{Consistency, Micros, Note, Outcome, Report, RequestId, Role};
+use beaconshore::interface::{Consistency, Micros, Outcome, ReplyStatus, Report, RequestId, Role};
 
 use crate::member::{Health, Job, Received};
 use crate::network::Way;
@@ -28,7 +28,7 @@
                 member,
                 member_epoch: epoch,
                 outcome: Outcome::Reset,
-                note: Note::default(),
+                note: ReplyStatus::default(),
                 report: Report::default(),
                 data: (0, false),
             };
@@ -41,7 +41,7 @@
         let consistency = self.plan.classes[job.class].class.consistency;
         let handing_over = self.logs[m.group].ends.is_some();
         if consistency == Consistency::Write && (!primary || handing_over) {
-            return self.turn_away(process, &job, member, Outcome::Misplaced);
+            return self.turn_away(process, &job, member, Outcome::Misdirected);
         }
         let rules = self.plan.rules();
         self.audit.came(self.plan, job.request, job.class, member, now);
@@ -60,7 +60,7 @@
                 self.queue.at(ends, Ev::Done(member, epoch, slot));
             }
             Received::Waits => {}
-            Received::Full => self.turn_away(process, &job, member, Outcome::Full),
+            Received::Full => self.turn_away(process, &job, member, Outcome::Rejected),
         }
     }
 
@@ -107,7 +107,7 @@
             member,
             member_epoch: m.epoch,
             outcome,
-            note: Note { position: Some(commit.unwrap_or(position)), role },
+            note: ReplyStatus { position: Some(commit.unwrap_or(position)), role },
             report: Report { position: Some(position), role, utilization, backlog: None },
             data: (position, m.was_primary),
         }
@@ -141,7 +141,7 @@
         }
         if write && (self.primaries[group].0 != Some(member) || self.logs[group].ends.is_some()) {
             // No primary any more since it began: it has no effect.
-            return self.turn_away((job.router, job.epoch), &job, member, Outcome::Misplaced);
+            return self.turn_away((job.router, job.epoch), &job, member, Outcome::Misdirected);
         }
         if write {
             self.logs[group].commit(now, self.plan.groups.apply);
--- a/crates/emulator/src/spill.rs
+++ b/crates/emulator/src/spill.rs
@@ -1,7 +1,7 @@
 //! The measures of a day: spill between zones, and the load of members.
 
 use beaconshore::interface::{Consistency, RequestId};
-use beaconshore::sizes::Sizes;
+use beaconshore::sizes::TableSizes;
 
 use crate::plan::SECOND;
 use crate::world::*;
@@ -46,7 +46,7 @@
         }
         self.day.second(now - 1).load = load;
         let kept = self.routers.iter().filter_map(|r| Some(r.steering.as_ref()?.sizes()));
-        self.day.second(now - 1).kept = kept.fold(Sizes::default(), |most, sizes| Sizes {
+        self.day.second(now - 1).kept = kept.fold(TableSizes::default(), |most, sizes| TableSizes {
             members: most.members.max(sizes.members),
             groups: most.groups.max(sizes.groups),
             requests: most.requests.max(sizes.requests),
--- a/crates/emulator/src/tally.rs
+++ b/crates/emulator/src/tally.rs
@@ -1,7 +1,7 @@
 //! What a day brought, second by second.
 
 use beaconshore::interface::Micros;
-use beaconshore::sizes::Sizes;
+use beaconshore::sizes::TableSizes;
 
 use crate::audit::Breach;
 use crate::plan::{Plan, DAWN, SECOND};
@@ -36,7 +36,7 @@
     /// Busy share of each member's cores.
     pub load: Vec<f32>,
     /// The most that any router kept at the end of this second.
-    pub kept: Sizes,
+    pub kept: TableSizes,
 }
 
 /// A served request: class, second of the day in which it was first asked, time in microseconds.
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use beaconshore::interface::{
-    Entry, Listed, MemberUpdate, Micros, Note, Outcome, Report, RequestId, SpillLoan,
+    ListEntry, ListedState, MemberUpdate, Micros, Outcome, ReplyStatus, Report, RequestId, SpillLoan,
 };
 
 use crate::audit::Audit;
@@ -45,7 +45,7 @@
     pub(crate) member: usize,
     pub(crate) member_epoch: u32,
     pub(crate) outcome: Outcome,
-    pub(crate) note: Note,
+    pub(crate) note: ReplyStatus,
     pub(crate) report: Report,
     /// Position that the data had, and whether its member has been primary.
     pub(crate) data: (Micros, bool),
@@ -74,7 +74,7 @@
     Over(RequestId, Process),
     ProbeAt(Process, usize),
     Probed(Process, usize, Option<Box<Report>>),
-    News(Process, Box<Entry>, u64),
+    News(Process, Box<ListEntry>, u64),
     Relist(Process),
     Leave(Process),
     Words(Process, Vec<MemberUpdate>),
@@ -83,7 +83,7 @@
     Strike(usize),
     Heal(usize, Vec<usize>),
     Elect(usize, u64),
-    Notice(usize, u32, Listed),
+    Notice(usize, u32, ListedState),
     NoticeRole(usize),
     Outside(Box<Order>),
     Second,
@@ -229,7 +229,7 @@
         let open = std::mem::take(&mut self.stories);
         for story in open.into_values().filter(|s| s.counts) {
             let second = self.day.second(story.asked);
-            second.asked -= self.plan.classes[story.class].class.worth;
+            second.asked -= self.plan.classes[story.class].class.value;
             second.stories -= 1;
         }
         self.day.breaches = self.audit.breaches();
--- a/crates/emulator/tests/audit.rs
+++ b/crates/emulator/tests/audit.rs
@@ -1,6 +1,6 @@
 //! The auditor finds each broken rule, and nothing where none is broken.
 
-use beaconshore::interface::{Listed, Micros, RequestId, Role};
+use beaconshore::interface::{ListedState, Micros, RequestId, Role};
 use beaconshore_emulator::audit::{Audit, Rule};
 use beaconshore_emulator::plan::DAWN;
 use beaconshore_emulator::{experiment, Plan};
@@ -70,15 +70,15 @@
 fn drains_are_kept_from_when_they_were_told() {
     let told = |after: Micros| {
         move |a: &mut Audit, p: &Plan| {
-            a.told(0, 1, Listed::Draining, DAWN);
+            a.told(0, 1, ListedState::Draining, DAWN);
             a.sent(p, ID, 1, (0, 1), DAWN + after * MS);
         }
     };
     assert_eq!(found(0, told(500)), []);
     assert_eq!(found(0, told(600)), [Rule::Drain]);
     let back = |a: &mut Audit, p: &Plan| {
-        a.told(0, 1, Listed::Gone, DAWN);
-        a.told(0, 1, Listed::Ready, DAWN + MS);
+        a.told(0, 1, ListedState::Gone, DAWN);
+        a.told(0, 1, ListedState::Ready, DAWN + MS);
         a.sent(p, ID, 1, (0, 1), DAWN + 900 * MS);
     };
     assert_eq!(found(0, back), []);
--- a/crates/emulator/tests/soak.rs
+++ b/crates/emulator/tests/soak.rs
@@ -33,7 +33,7 @@
     assert_eq!(day.breaches, [], "no rule is broken");
     let kept: Vec<_> = day.seconds[..MINUTES * 60 - 1].iter().map(|s| s.kept).collect();
     // Never more than are listed; those that are gone are forgotten, and known again once they are back.
-    let of = |k: &beaconshore::sizes::Sizes| (k.members, k.groups);
+    let of = |k: &beaconshore::sizes::TableSizes| (k.members, k.groups);
     assert!(kept.iter().all(|k| k.members <= 12 && k.groups <= 4), "{:?}", kept.iter().map(of).max());
     assert!(kept.iter().any(|k| k.members < 12), "some were forgotten");
     assert!(kept[..30].iter().all(|k| of(k) == (12, 4)), "before the first trouble all are known");
@@ -43,7 +43,7 @@
     assert!((1..=8 * (12 * 5 + 48) * 3).contains(&most), "{most}");
     assert!(kept.iter().all(|k| k.sessions <= SESSIONS));
     // Given back: the last ten minutes are no fuller than the first.
-    let mean = |part: &[beaconshore::sizes::Sizes]| {
+    let mean = |part: &[beaconshore::sizes::TableSizes]| {
         part.iter().map(|k| k.requests).sum::<usize>() as f64 / part.len() as f64
     };
     let (first, last) = (mean(&kept[..600]), mean(&kept[kept.len() - 600..]));
--- a/crates/lab/src/capacity/decisions.rs
+++ b/crates/lab/src/capacity/decisions.rs
@@ -3,8 +3,9 @@
 use std::time::{Duration, Instant};
 
 use beaconshore::interface::{
-    Action, Class, Consistency, DedupScope, Effect, Ended, Entry, Event, GroupId, Limits, ListKind, Listed,
-    MemberId, Micros, Note, Outcome, Report, Request, RequestId, Role, RuleFigures, Settings, ZoneId,
+    Action, AttemptResult, Class, Consistency, DedupScope, Effect, Event, GroupId, Limits, ListEntry,
+    ListKind, ListedState, MemberId, Micros, Outcome, ReplyStatus, Report, Request, RequestId, Role,
+    RuleParameters, Settings, ZoneId,
 };
 use beaconshore_capacity::sample::{Axis, Cost, Mechanism, Sample};
 use beaconshore_steering::{Plans, Steering};
@@ -80,15 +81,15 @@
             actions: Vec::new(),
             answers: std::collections::VecDeque::new(),
         };
-        let entry = |member: u32| Entry {
+        let entry = |member: u32| ListEntry {
             member: MemberId(member),
             group: GroupId(member / GROUP),
             zone: ZoneId((member % 7) as u16),
-            listed: Listed::Ready,
+            listed: ListedState::Ready,
             started: None,
             primary: is_primary(MemberId(member)),
         };
-        let entries: Vec<Entry> = (0..databases / GROUP * GROUP).map(entry).collect();
+        let entries: Vec<ListEntry> = (0..databases / GROUP * GROUP).map(entry).collect();
         driver.handle(&Event::List(ListKind::Cached, &entries));
         driver
     }
@@ -148,14 +149,14 @@
     member.0.is_multiple_of(GROUP)
 }
 
-fn served(now: Micros, request: RequestId, member: MemberId) -> Ended {
+fn served(now: Micros, request: RequestId, member: MemberId) -> AttemptResult {
     let role = Some(if is_primary(member) { Role::Primary } else { Role::Replica });
     let position = Some(now - 5 * MILLISECOND);
-    Ended {
+    AttemptResult {
         request,
         member,
         outcome: Outcome::Served,
-        note: Note { position, role },
+        note: ReplyStatus { position, role },
         took: ANSWER,
         finished: true,
         report: Report { position, role, utilization: Some(0.4), backlog: None },
@@ -163,13 +164,13 @@
 }
 
 fn settings() -> Settings {
-    let class = |consistency, effect, aim| Class {
+    let class = |consistency, effect, latency_target| Class {
         consistency,
         effect,
-        aim,
+        latency_target,
         deadline: 2_000 * MILLISECOND,
-        worth: 1.0,
-        late_worth: 0.3,
+        value: 1.0,
+        late_value_share: 0.3,
     };
     Settings {
         routers: 420,
@@ -190,13 +191,13 @@
             probes: false,
             peer_messages: true,
         },
-        rules: RuleFigures {
-            ask_within: 10_000 * MILLISECOND,
+        rules: RuleParameters {
+            resubscribe_within: 10_000 * MILLISECOND,
             cold_share: 0.2,
-            warm_within: 16_000 * MILLISECOND,
-            fall_multiple: 2.0,
-            fall_window: 1_500 * MILLISECOND,
-            ..RuleFigures::default()
+            warm_up_time: 16_000 * MILLISECOND,
+            overload_multiple: 2.0,
+            overload_window: 1_500 * MILLISECOND,
+            ..RuleParameters::default()
         },
         ..Settings::default()
     }
--- a/crates/operator/src/routes.rs
+++ b/crates/operator/src/routes.rs
@@ -98,10 +98,10 @@
         let class = |consistency, effect| Class {
             consistency,
             effect,
-            aim: 250_000,
+            latency_target: 250_000,
             deadline: 1_000_000,
-            worth: 1.0,
-            late_worth: 0.0,
+            value: 1.0,
+            late_value_share: 0.0,
         };
         let keyed = Effect::Keyed(DedupScope::Group, 800_000);
         let classes =
--- a/crates/rig/src/config.rs
+++ b/crates/rig/src/config.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use beaconshore::interface::{Class, Consistency, Effect, Entry, Listed, Micros};
+use beaconshore::interface::{Class, Consistency, Effect, ListEntry, ListedState, Micros};
 use beaconshore_emulator::Plan;
 use serde_json::{json, Value};
 
@@ -24,7 +24,7 @@
 }
 
 /// An entry of the list in discovery's form; times are Unix times.
-pub fn entry(plan: &Plan, ways: &Ways, entry: &Entry, unix: impl Fn(Micros) -> Micros) -> Value {
+pub fn entry(plan: &Plan, ways: &Ways, entry: &ListEntry, unix: impl Fn(Micros) -> Micros) -> Value {
     let number = entry.member.0 as usize;
     json!({
         "instanceId": format!("s-{number:04}"),
@@ -33,9 +33,9 @@
         "machineType": "m",
         "cell": entry.group.0,
         "lifecycle": match entry.listed {
-            Listed::Ready => "ready",
-            Listed::Draining => "draining",
-            Listed::Gone => "gone",
+            ListedState::Ready => "ready",
+            ListedState::Draining => "draining",
+            ListedState::Gone => "gone",
         },
         "weight": 1.0,
         "startedAtMs": entry.started.map_or(0, |at| unix(at) / 1000),
@@ -50,8 +50,8 @@
         Effect::Unsafe => ("unsafe", 0),
     };
     let mut value = json!({
-        "name": name, "aimUs": class.aim, "deadlineUs": class.deadline, "worth": class.worth,
-        "lateWorth": class.late_worth, "idempotency": idempotency, "windowUs": window,
+        "name": name, "aimUs": class.latency_target, "deadlineUs": class.deadline, "worth": class.value,
+        "lateWorth": class.late_value_share, "idempotency": idempotency, "windowUs": window,
     });
     if matches!(class.effect, Effect::Keyed(..)) {
         value["dedupScope"] = "cell".into();
@@ -96,9 +96,9 @@
             "loadReport": {"fields": ["x0", "x1", "utilization"], "how": "piggyback"},
             "requestClasses": plan.classes.iter().map(|c| class(&c.name, &c.class)).collect::<Vec<_>>(),
             "rules": {
-                "askWithinUs": rules.ask_within, "onlyDrainingBinds": rules.only_draining_binds,
-                "startCapacity": rules.cold_share, "warmWithinUs": rules.warm_within,
-                "tipMultiple": rules.fall_multiple, "fallUs": rules.fall_window,
+                "askWithinUs": rules.resubscribe_within, "onlyDrainingBinds": rules.only_draining_binds,
+                "startCapacity": rules.cold_share, "warmWithinUs": rules.warm_up_time,
+                "tipMultiple": rules.overload_multiple, "fallUs": rules.overload_window,
             },
         },
     })
--- a/crates/rig/src/play.rs
+++ b/crates/rig/src/play.rs
@@ -475,7 +475,7 @@
         }
     }
 
-    fn news(&mut self, router: usize, of: &beaconshore::interface::Entry) {
+    fn news(&mut self, router: usize, of: &beaconshore::interface::ListEntry) {
         let told = entry(self.plan, &self.ways[router], of, |at| at + self.offset);
         self.agents[router].tell(told);
     }
--- a/crates/rig/src/store.rs
+++ b/crates/rig/src/store.rs
@@ -10,7 +10,7 @@
 
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
-use beaconshore::interface::{Micros, Note, Outcome, Report, RequestId, Role};
+use beaconshore::interface::{Micros, Outcome, ReplyStatus, Report, RequestId, Role};
 use beaconshore_emulator::live::{Said, Welcome};
 use futures_lite::{future, AsyncWriteExt};
 
@@ -140,8 +140,8 @@
             let Some(Back::Say(said)) = self.back(inbox).await else { return Ok(Then::End) };
             match said.outcome {
                 Outcome::Served => put_row(&mut out, &value_of(text)),
-                Outcome::Full => put_error(&mut out, "ERROR", "53300"),
-                Outcome::Misplaced => put_error(&mut out, "ERROR", "25006"),
+                Outcome::Rejected => put_error(&mut out, "ERROR", "53300"),
+                Outcome::Misdirected => put_error(&mut out, "ERROR", "25006"),
                 Outcome::Error => put_error(&mut out, "ERROR", "XX000"),
                 _ => return Ok(Then::End),
             }
@@ -185,7 +185,7 @@
     }
 
     fn statuses(&self, out: &mut Vec<u8>, said: &Said) {
-        let Note { position, role } = said.note;
+        let ReplyStatus { position, role } = said.note;
         if let Some(role) = role {
             put_status(out, "node_role", if role == Role::Primary { "leader" } else { "follower" });
         }
--- a/crates/routes/src/director.rs
+++ b/crates/routes/src/director.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use beaconshore::interface::{Class, Effect, Micros, Narrow, Outcome, Request, RequestId, Settings};
+use beaconshore::interface::{Class, Effect, Micros, Outcome, Request, RequestId, RouteLimits, Settings};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
     /// It goes on with this much time, narrowed so.
-    Admit(Micros, Narrow),
+    Admit(Micros, RouteLimits),
     /// It is refused at once: why, and when to come back.
     TurnAway(Cause, Micros),
 }
@@ -112,7 +112,7 @@
 
     /// A request comes with so much time left to its client.
     pub fn on_request(&mut self, id: RequestId, facts: &Facts, left: Micros, now: Micros) -> Verdict {
-        let untouched = Verdict::Admit(left, Narrow::default());
+        let untouched = Verdict::Admit(left, RouteLimits::default());
         let Some(index) = self.table.find(&self.routes, facts) else { return untouched };
         if self.held.len() >= MOST_REQUESTS {
             return untouched;
@@ -137,7 +137,7 @@
         self.held.insert(id, Held { route: index, since: now, pause: 0, tried: false });
         let route = &state.route;
         let zones = route.zones.iter().fold(0_u64, |mask, zone| mask | 1 << u32::from(zone.0).min(63));
-        let narrow = Narrow {
+        let narrow = RouteLimits {
             attempts: route.attempts.unwrap_or(u32::MAX),
             attempt: route.attempt.unwrap_or(0),
             staleness: route.staleness.unwrap_or(Micros::MAX),
--- a/crates/routes/tests/directing.rs
+++ b/crates/routes/tests/directing.rs
@@ -2,7 +2,7 @@
 
 use std::num::NonZeroU32;
 
-use beaconshore::interface::{Micros, Narrow, Outcome, RequestId, ZoneId};
+use beaconshore::interface::{Micros, Outcome, RequestId, RouteLimits, ZoneId};
 use beaconshore_routes::director::{Again, Cause, Director, Over, Verdict};
 use beaconshore_routes::expression::{Facts, Match};
 use beaconshore_routes::policy::{OpenLimit, Pause, Policy, RateLimit, Route};
@@ -59,9 +59,9 @@
         ],
         None,
     );
-    let narrow = Narrow { attempts: 2, attempt: 300 * MS, staleness: 100 * MS, zones: 0b101 };
+    let narrow = RouteLimits { attempts: 2, attempt: 300 * MS, staleness: 100 * MS, zones: 0b101 };
     assert_eq!(stage.ask("view").1, Verdict::Admit(800 * MS, narrow));
-    assert_eq!(stage.ask("log").1, Verdict::Admit(5 * SECOND, Narrow::default()));
+    assert_eq!(stage.ask("log").1, Verdict::Admit(5 * SECOND, RouteLimits::default()));
     // What its client has used up counts: less than the budget stays less.
     let verdict = stage.director.on_request(RequestId(99), &facts("view"), 200 * MS, stage.now);
     assert!(matches!(verdict, Verdict::Admit(left, _) if left == 200 * MS));
@@ -118,7 +118,7 @@
     assert!(stage.counts("views").denied > 15_000);
     // What a member turned away untouched cost nothing.
     let id = stage.admitted("view").unwrap();
-    assert_eq!(stage.director.on_failed(id, Outcome::Misplaced, stage.now), Again::At(stage.now));
+    assert_eq!(stage.director.on_failed(id, Outcome::Misdirected, stage.now), Again::At(stage.now));
 }
 
 #[test]
--- a/crates/routes/tests/findings.rs
+++ b/crates/routes/tests/findings.rs
@@ -12,10 +12,10 @@
     let class = |consistency, effect, deadline| Class {
         consistency,
         effect,
-        aim: 250 * MS,
+        latency_target: 250 * MS,
         deadline,
-        worth: 1.0,
-        late_worth: 0.0,
+        value: 1.0,
+        late_value_share: 0.0,
     };
     let keyed = Effect::Keyed(DedupScope::Group, 3_000 * MS);
     let classes = vec![
--- a/crates/scale/src/hollow.rs
+++ b/crates/scale/src/hollow.rs
@@ -9,7 +9,7 @@
 use async_channel::{Receiver, Sender};
 use async_executor::{LocalExecutor, Task};
 use async_io::Timer;
-use beaconshore::interface::{MemberId, Micros, Note, Outcome, Report, RequestId};
+use beaconshore::interface::{MemberId, Micros, Outcome, ReplyStatus, Report, RequestId};
 use beaconshore_driver::client::{Answer as ClientAnswer, CancelFlag, ClientMail, Served};
 use beaconshore_driver::control::MemberTransport;
 use beaconshore_driver::member::{AttemptEnd, MemberMail, Told};
@@ -278,7 +278,7 @@
     fn end(&self, node: &Rc<Node>, module: &ModuleHandle, waiting: Waiting, reply: Reply) {
         let (outcome, told) = match reply {
             Reply::Said(said) => {
-                let note = Note { position: self.unix(said.note.position), ..said.note };
+                let note = ReplyStatus { position: self.unix(said.note.position), ..said.note };
                 let report = Report { position: self.unix(said.report.position), ..said.report };
                 (said.outcome, Told { note, report })
             }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -175,13 +175,13 @@
             step: facts.step_us,
             classes,
             discovery: match facts.discovery.as_str() {
-                "pushed" => api::Discovery::Pushed,
-                "on_request" => api::Discovery::OnRequest,
+                "pushed" => api::DiscoveryMode::Pushed,
+                "on_request" => api::DiscoveryMode::OnRequest,
                 other => return Err(unknown("discovery", other)),
             },
-            session_marks: match facts.extra.session_marks.as_deref() {
-                Some("router") => api::SessionMarks::Router,
-                Some("client") | None => api::SessionMarks::Client,
+            session_tracking: match facts.extra.session_marks.as_deref() {
+                Some("router") => api::SessionTracking::Router,
+                Some("client") | None => api::SessionTracking::Client,
                 Some(other) => return Err(unknown("extra.sessionMarks", other)),
             },
             lag_check: match facts.extra.guards.as_deref() {
@@ -197,13 +197,13 @@
                 probes: facts.limits.probes,
                 peer_messages: facts.limits.peer_messages,
             },
-            rules: api::RuleFigures {
-                ask_within: facts.rules.ask_within_us,
+            rules: api::RuleParameters {
+                resubscribe_within: facts.rules.ask_within_us,
                 only_draining_binds: facts.rules.only_draining_binds,
                 cold_share: facts.rules.start_capacity,
-                warm_within: facts.rules.warm_within_us,
-                fall_multiple: facts.rules.tip_multiple,
-                fall_window: facts.rules.fall_us,
+                warm_up_time: facts.rules.warm_within_us,
+                overload_multiple: facts.rules.tip_multiple,
+                overload_window: facts.rules.fall_us,
             },
         };
         let dialect = Dialect {
@@ -251,9 +251,9 @@
     Ok(api::Class {
         consistency,
         effect,
-        aim: class.aim_us,
+        latency_target: class.aim_us,
         deadline: class.deadline_us,
-        worth: class.worth,
-        late_worth: class.late_worth,
+        value: class.worth,
+        late_value_share: class.late_worth,
     })
 }
--- a/crates/steering/benches/cost.rs
+++ b/crates/steering/benches/cost.rs
@@ -14,13 +14,13 @@
 const PER_TICK: u64 = 3;
 
 fn settings() -> Settings {
-    let class = |consistency, effect, aim| Class {
+    let class = |consistency, effect, latency_target| Class {
         consistency,
         effect,
-        aim,
+        latency_target,
         deadline: 2_000 * MS,
-        worth: 1.0,
-        late_worth: 0.3,
+        value: 1.0,
+        late_value_share: 0.3,
     };
     Settings {
         routers: 3,
@@ -37,13 +37,13 @@
             probes: true,
             peer_messages: true,
         },
-        rules: RuleFigures {
-            ask_within: 10_000 * MS,
+        rules: RuleParameters {
+            resubscribe_within: 10_000 * MS,
             cold_share: 0.2,
-            warm_within: 16_000 * MS,
-            fall_multiple: 2.0,
-            fall_window: 1_500 * MS,
-            ..RuleFigures::default()
+            warm_up_time: 16_000 * MS,
+            overload_multiple: 2.0,
+            overload_window: 1_500 * MS,
+            ..RuleParameters::default()
         },
         ..Settings::default()
     }
@@ -60,15 +60,15 @@
 impl Stage {
     fn new(members: u32, policy: Option<Policy>) -> Stage {
         let mut steering = Steering::new(settings(), Plans { zones: policy, ..Plans::default() }, 7, START);
-        let entry = |m: u32| Entry {
+        let entry = |m: u32| ListEntry {
             member: MemberId(m),
             group: GroupId(m / 3),
             zone: ZoneId((m % 3) as u16),
-            listed: Listed::Ready,
+            listed: ListedState::Ready,
             started: None,
             primary: m % 3 == 1,
         };
-        let entries: Vec<Entry> = (0..members).map(entry).collect();
+        let entries: Vec<ListEntry> = (0..members).map(entry).collect();
         let mut actions = Vec::new();
         steering.handle(START, &Event::List(ListKind::Cached, &entries), &mut actions);
         let mut stage = Stage { steering, groups: members / 3, now: START, next: 0, actions };
@@ -83,8 +83,8 @@
             match action {
                 Action::Send { request, member, .. } => {
                     let role = Some(if member.0 % 3 == 1 { Role::Primary } else { Role::Replica });
-                    let note = Note { position: Some(self.now - 5 * MS), role };
-                    let ended = Event::AttemptEnded(Ended {
+                    let note = ReplyStatus { position: Some(self.now - 5 * MS), role };
+                    let ended = Event::AttemptEnded(AttemptResult {
                         request,
                         member,
                         outcome: Outcome::Served,
--- a/crates/steering/src/lib.rs
+++ b/crates/steering/src/lib.rs
@@ -6,7 +6,7 @@
 use std::net::IpAddr;
 
 use beaconshore::interface::{Action, Event, MemberId, Micros, Outcome, Request, RequestId, Settings};
-use beaconshore::sizes::Sizes;
+use beaconshore::sizes::TableSizes;
 use beaconshore::Router;
 use beaconshore_routes::director::{facts, Again, Counts, Over, Verdict};
 use beaconshore_routes::expression::Facts;
@@ -69,8 +69,8 @@
                 if ended.outcome != Outcome::Served && !ended.finished {
                     let rest = match routes.on_failed(ended.request, ended.outcome, now) {
                         Again::At(at) if at <= now => None,
-                        Again::At(at) => Some(Event::Rest(ended.request, Some(at))),
-                        Again::Never => Some(Event::Rest(ended.request, None)),
+                        Again::At(at) => Some(Event::RetryNotBefore(ended.request, Some(at))),
+                        Again::Never => Some(Event::RetryNotBefore(ended.request, None)),
                     };
                     rest.into_iter().for_each(|rest| self.plan(now, &rest, out));
                 } else {
@@ -79,7 +79,7 @@
                 }
                 self.plan(now, event, out);
             }
-            Event::HungUp(request) => {
+            Event::ClientDisconnected(request) => {
                 routes.on_over(*request, Over::Left, now);
                 self.plan(now, event, out);
             }
@@ -115,7 +115,7 @@
         match verdict {
             Verdict::Admit(budget, narrow) => {
                 let request = Request { budget, ..request.clone() };
-                self.plan(now, &Event::Narrowed(request, narrow), out);
+                self.plan(now, &Event::RequestWithLimits(request, narrow), out);
             }
             // What never reached the module has not run: trying again is harmless.
             Verdict::TurnAway(_, after) => {
@@ -199,7 +199,7 @@
     }
 
     /// The sizes of the router's tables.
-    pub fn sizes(&self) -> Sizes {
+    pub fn sizes(&self) -> TableSizes {
         self.router.sizes()
     }
 }
--- a/crates/steering/tests/passes_through.rs
+++ b/crates/steering/tests/passes_through.rs
@@ -9,13 +9,13 @@
 const START: Micros = 1_000_000_000;
 
 fn settings() -> Settings {
-    let class = |consistency, effect, aim| Class {
+    let class = |consistency, effect, latency_target| Class {
         consistency,
         effect,
-        aim,
+        latency_target,
         deadline: 2_000 * MS,
-        worth: 1.0,
-        late_worth: 0.3,
+        value: 1.0,
+        late_value_share: 0.3,
     };
     Settings {
         zone: ZoneId(0),
@@ -34,13 +34,13 @@
             probes: true,
             peer_messages: true,
         },
-        rules: RuleFigures {
-            ask_within: 10_000 * MS,
+        rules: RuleParameters {
+            resubscribe_within: 10_000 * MS,
             only_draining_binds: false,
             cold_share: 0.2,
-            warm_within: 16_000 * MS,
-            fall_multiple: 2.0,
-            fall_window: 1_500 * MS,
+            warm_up_time: 16_000 * MS,
+            overload_multiple: 2.0,
+            overload_window: 1_500 * MS,
         },
         ..Settings::default()
     }
@@ -58,14 +58,14 @@
 }
 
 /// Members of two groups in three zones.
-fn entries(dice: &mut Dice) -> Vec<Entry> {
+fn entries(dice: &mut Dice) -> Vec<ListEntry> {
     let listed = |dice: &mut Dice| match dice.roll(12) {
-        0 => Listed::Draining,
-        1 => Listed::Gone,
-        _ => Listed::Ready,
+        0 => ListedState::Draining,
+        1 => ListedState::Gone,
+        _ => ListedState::Ready,
     };
     (0..8)
-        .map(|m| Entry {
+        .map(|m| ListEntry {
             member: MemberId(m),
             group: GroupId(m % 2),
             zone: ZoneId((m / 2 % 3) as u16),
@@ -113,16 +113,16 @@
                         Outcome::Served,
                         Outcome::Reset,
                         Outcome::TimedOut,
-                        Outcome::Misplaced,
+                        Outcome::Misdirected,
                         Outcome::Unreachable,
                     ];
                     let outcome = outcomes[dice.roll(6) as usize];
                     let role = if member.0 < 2 { Role::Primary } else { Role::Replica };
-                    Event::AttemptEnded(Ended {
+                    Event::AttemptEnded(AttemptResult {
                         request,
                         member,
                         outcome,
-                        note: Note { position: Some(now - dice.roll(300) * MS), role: Some(role) },
+                        note: ReplyStatus { position: Some(now - dice.roll(300) * MS), role: Some(role) },
                         took: now - sent,
                         finished: outcome == Outcome::Served,
                         report: Report::default(),
--- a/crates/zones/src/evidence.rs
+++ b/crates/zones/src/evidence.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use beaconshore::interface::{Entry, GroupId, Listed, MemberId, Micros, Outcome, RequestId, ZoneId};
+use beaconshore::interface::{GroupId, ListEntry, ListedState, MemberId, Micros, Outcome, RequestId, ZoneId};
 
 /// An attempt is overdue after this many times what answers of its zone usually take...
 const OVERDUE: f64 = 4.0;
@@ -21,7 +21,7 @@
     /// Its group.
     pub group: GroupId,
     /// What the list says of it.
-    pub listed: Listed,
+    pub listed: ListedState,
     /// Its last start, if that is not long ago.
     pub started: Option<Micros>,
     /// When it last answered this router, in whatever way.
@@ -42,7 +42,7 @@
 }
 
 impl Record {
-    fn new(entry: &Entry) -> Self {
+    fn new(entry: &ListEntry) -> Self {
         Record {
             zone: entry.zone,
             group: entry.group,
@@ -128,7 +128,7 @@
 
 impl Evidence {
     /// A list's entry.
-    pub fn on_entry(&mut self, entry: &Entry) {
+    pub fn on_entry(&mut self, entry: &ListEntry) {
         let record = self.records.entry(entry.member).or_insert_with(|| Record::new(entry));
         record.listed = entry.listed;
         (record.zone, record.group) = (entry.zone, entry.group);
@@ -138,7 +138,7 @@
     /// Members that a whole list does not hold are gone.
     pub fn on_missing(&mut self, listed: &dyn Fn(MemberId) -> bool) {
         let missing = self.records.iter_mut().filter(|(id, _)| !listed(**id));
-        missing.for_each(|(_, record)| record.listed = Listed::Gone);
+        missing.for_each(|(_, record)| record.listed = ListedState::Gone);
     }
 
     /// The decision module forgot it, so does this.
@@ -166,7 +166,7 @@
         let Some(record) = self.records.get_mut(&member) else { return };
         record.out.retain(|(r, _)| *r != request);
         match outcome {
-            Outcome::Served | Outcome::Error | Outcome::Full | Outcome::Misplaced => {
+            Outcome::Served | Outcome::Error | Outcome::Rejected | Outcome::Misdirected => {
                 (record.answered, record.failing) = (now, None);
             }
             // One that answered others since this was sent has lost a connection, not its life.
@@ -175,7 +175,7 @@
                     record.failing = record.failing.or(Some(now.saturating_sub(took)));
                 }
             }
-            Outcome::Cancelled | Outcome::Moot => {}
+            Outcome::Cancelled | Outcome::NeverSent => {}
         }
         if outcome == Outcome::Served && learn {
             let usual = self.usual.entry(record.zone).or_insert(took as f64);
--- a/crates/zones/src/planner.rs
+++ b/crates/zones/src/planner.rs
@@ -4,8 +4,8 @@
 use std::fmt;
 
 use beaconshore::interface::{
-    Action, Advice, Consistency, Entry, Event, GroupId, ListKind, Listed, MemberId, Micros, Outcome,
-    RequestId, Role, Settings, Spill, SpillLoan, ZoneId, ZoneWord,
+    Action, Advice, Consistency, Event, GroupId, ListEntry, ListKind, ListedState, MemberId, Micros, Outcome,
+    RequestId, Role, Settings, SpillLimit, SpillLoan, ZoneAdvice, ZoneId,
 };
 
 use crate::evidence::{Assessment, Evidence, Record, Verdict};
@@ -96,7 +96,7 @@
     /// The members that last said to be primaries: reads have their home with replicas, which offload these.
     primaries: BTreeMap<GroupId, MemberId>,
     told_homes: BTreeMap<GroupId, u16>,
-    told: BTreeMap<ZoneId, ZoneWord>,
+    told: BTreeMap<ZoneId, ZoneAdvice>,
     requests: BTreeMap<RequestId, (usize, GroupId)>,
     demand: Demand,
     probed: BTreeMap<MemberId, Micros>,
@@ -142,7 +142,9 @@
     pub fn on_event(&mut self, now: Micros, event: &Event) {
         match event {
             Event::List(kind, entries) => self.on_list(*kind, entries, now),
-            Event::Request(request) | Event::Narrowed(request, _) if self.requests.len() < MOST_REQUESTS => {
+            Event::Request(request) | Event::RequestWithLimits(request, _)
+                if self.requests.len() < MOST_REQUESTS =>
+            {
                 self.requests.insert(request.id, (request.class, request.group));
             }
             Event::AttemptEnded(ended) => {
@@ -183,9 +185,13 @@
             Event::PeerUpdates(words) => {
                 words.iter().for_each(|w| self.evidence.on_word(w.member, w.position, now));
             }
-            Event::HungUp(request) => drop(self.requests.remove(request)),
+            Event::ClientDisconnected(request) => drop(self.requests.remove(request)),
             Event::SpillLoans(from, talks) => self.on_talk(*from, talks, now),
-            Event::Request(_) | Event::Narrowed(..) | Event::Rest(..) | Event::Advice(_) | Event::Timer => {}
+            Event::Request(_)
+            | Event::RequestWithLimits(..)
+            | Event::RetryNotBefore(..)
+            | Event::Advice(_)
+            | Event::Timer => {}
         }
     }
 
@@ -239,7 +245,7 @@
         class.is_some_and(|c| c.consistency == Consistency::Write)
     }
 
-    fn on_list(&mut self, kind: ListKind, entries: &[Entry], now: Micros) {
+    fn on_list(&mut self, kind: ListKind, entries: &[ListEntry], now: Micros) {
         if kind == ListKind::Failed {
             return;
         }
@@ -249,7 +255,7 @@
         }
         for entry in entries {
             self.evidence.on_entry(entry);
-            if entry.listed != Listed::Gone {
+            if entry.listed != ListedState::Gone {
                 let place = (entry.zone, now + HOME_MEMORY);
                 self.homes.entry(entry.group).or_default().insert(entry.member, place);
             }
@@ -413,8 +419,9 @@
             let unproven = zone.state.ramp().is_some_and(|ramp| ramp.is_unproven());
             let last = |m: &MemberId| self.probed.get(m).copied().unwrap_or(0);
             let wanted = |m: &MemberId, r: &Record| {
-                let asked =
-                    r.zone == *id && r.listed == Listed::Ready && (doubted || unproven || r.answered < since);
+                let asked = r.zone == *id
+                    && r.listed == ListedState::Ready
+                    && (doubted || unproven || r.answered < since);
                 // Where a peer heard from it since, it is worth a look at once.
                 asked && now >= last(m) + if r.told > since { PROBE_PAUSE } else { rare }
             };
@@ -429,12 +436,12 @@
     }
 
     /// The words on all zones, in order of preference: demand that one has no room for goes to the next.
-    fn words(&mut self, order: &[ZoneId], now: Micros) -> Vec<ZoneWord> {
+    fn words(&mut self, order: &[ZoneId], now: Micros) -> Vec<ZoneAdvice> {
         let classes = &self.settings.classes;
         let mut wishes: Vec<Wish> = (0..classes.len())
             .map(|i| Wish {
                 work: self.demand.of(i),
-                density: classes[i].worth / classes[i].aim.max(1) as f64,
+                density: classes[i].value / classes[i].latency_target.max(1) as f64,
             })
             .collect();
         let mut words = Vec::with_capacity(order.len());
@@ -446,16 +453,22 @@
             let spill = zone.account.as_mut().map(|account| {
                 let credit = account.credit(now) / MEAN;
                 if doubted {
-                    return Spill { credit, shares: vec![1.0; wishes.len()] };
+                    return SpillLimit { credit, shares: vec![1.0; wishes.len()] };
                 }
                 // A little more than the mean demand allows: the window is what binds, shares only sort.
                 let (shares, _) = allot(account.limit(now), &wishes);
                 wishes.iter_mut().zip(&shares).for_each(|(wish, share)| wish.work *= 1.0 - share);
                 // In steps, so that the router is told of changes only.
                 let shares = shares.into_iter().map(|s| (s * 50.0).ceil() / 50.0).collect();
-                Spill { credit, shares }
+                SpillLimit { credit, shares }
+            });
+            words.push(ZoneAdvice {
+                zone: *id,
+                tier: tier as u16,
+                suspected: doubted,
+                read_share: share,
+                spill,
             });
-            words.push(ZoneWord { zone: *id, tier: tier as u16, doubted, share, spill });
         }
         words
     }
@@ -514,7 +527,7 @@
                 phase,
                 since: zone.state.since(),
                 step: zone.state.ramp().map(|ramp| ramp.step()),
-                share: told.map_or(1.0, |w| w.share),
+                share: told.map_or(1.0, |w| w.read_share),
                 spilled: zone.account.as_mut().map_or(0.0, |a| a.used(now)),
                 spill_limit: zone.account.as_ref().map(|a| a.limit(now)),
                 turned: zone.state.turned(),
--- a/crates/zones/src/ramp.rs
+++ b/crates/zones/src/ramp.rs
@@ -1,6 +1,6 @@
 //! The way back of one zone: steps of growing share, each of which must prove itself before the next.
 
-use beaconshore::interface::{Micros, RuleFigures};
+use beaconshore::interface::{Micros, RuleParameters};
 
 use crate::evidence::Assessment;
 use crate::policy::Policy;
@@ -123,13 +123,13 @@
 
     /// The share of reads that may go there now: the step's, as far as the age of its members allows. All
     /// routers draw from their own traffic, so the sum over any fleet is this share of the zone's usual load.
-    pub fn share(&self, zone: &Assessment, rules: &RuleFigures, now: Micros) -> f64 {
+    pub fn share(&self, zone: &Assessment, rules: &RuleParameters, now: Micros) -> f64 {
         let began = match self.from {
             From::Loss => Some(self.began),
             From::Cut => None,
         };
         let cold = zone.youngest.max(began).map_or(1.0, |started| {
-            let age = now.saturating_sub(started) as f64 / rules.warm_within.max(1) as f64;
+            let age = now.saturating_sub(started) as f64 / rules.warm_up_time.max(1) as f64;
             rules.cold_share + (1.0 - rules.cold_share) * age.min(1.0)
         });
         let behind = if zone.fresh < FRESH { BEHIND_SHARE } else { 1.0 };
--- a/crates/zones/tests/evidence.rs
+++ b/crates/zones/tests/evidence.rs
@@ -11,14 +11,18 @@
     let class = Class {
         consistency: Consistency::Bounded(200 * MS),
         effect: Effect::Safe,
-        aim: 250 * MS,
+        latency_target: 250 * MS,
         deadline: 1_000 * MS,
-        worth: 1.0,
-        late_worth: 0.0,
+        value: 1.0,
+        late_value_share: 0.0,
     };
     let limits = Limits { max_attempts: 8, probes: true, peer_messages: true, ..Limits::default() };
-    let rules =
-        RuleFigures { cold_share: 0.2, warm_within: 10_000 * MS, fall_multiple: 2.0, ..Default::default() };
+    let rules = RuleParameters {
+        cold_share: 0.2,
+        warm_up_time: 10_000 * MS,
+        overload_multiple: 2.0,
+        ..Default::default()
+    };
     Settings {
         zone: ZoneId(0),
         routers: 3,
@@ -34,7 +38,7 @@
     planner: Planner,
     now: Micros,
     next: u64,
-    words: Vec<ZoneWord>,
+    words: Vec<ZoneAdvice>,
     homes: Vec<(GroupId, u16)>,
     probes: usize,
 }
@@ -50,15 +54,15 @@
         homes: Vec::new(),
         probes: 0,
     };
-    let entries: Vec<Entry> = (0..12).map(|m| entry(m, Listed::Ready)).collect();
+    let entries: Vec<ListEntry> = (0..12).map(|m| entry(m, ListedState::Ready)).collect();
     stage.planner.on_event(START, &Event::List(ListKind::Cached, &entries));
     stage.advise();
     (0..12).for_each(|m| stage.attempt(m, Outcome::Served));
     stage
 }
 
-fn entry(member: u32, listed: Listed) -> Entry {
-    Entry {
+fn entry(member: u32, listed: ListedState) -> ListEntry {
+    ListEntry {
         member: MemberId(member),
         group: GroupId(member / 3),
         zone: ZoneId((member % 3) as u16),
@@ -87,11 +91,11 @@
         self.planner.on_actions(now, &[send], |_| 40_000.0);
         self.planner.on_event(
             now,
-            &Event::AttemptEnded(Ended {
+            &Event::AttemptEnded(AttemptResult {
                 request: id,
                 member: MemberId(member),
                 outcome,
-                note: Note { position: Some(now), role: None },
+                note: ReplyStatus { position: Some(now), role: None },
                 took: 50 * MS,
                 finished: true,
                 report: Report::default(),
@@ -123,7 +127,7 @@
     }
 
     fn doubted(&self) -> Vec<u16> {
-        let mut zones: Vec<u16> = self.words.iter().filter(|w| w.doubted).map(|w| w.zone.0).collect();
+        let mut zones: Vec<u16> = self.words.iter().filter(|w| w.suspected).map(|w| w.zone.0).collect();
         zones.sort_unstable();
         zones
     }
@@ -199,7 +203,7 @@
     // Its members answer again: a large share at once, for they are warm.
     s.pass(2_000 * MS, |_| Some(Outcome::Served));
     let word = s.words.iter().find(|w| w.zone == ZoneId(2)).unwrap();
-    assert!(!word.doubted && word.share >= 0.35, "{word:?}");
+    assert!(!word.suspected && word.read_share >= 0.35, "{word:?}");
 }
 
 #[test]
@@ -232,13 +236,14 @@
     assert_eq!(s.homes.len(), 4);
     assert!(s.homes.iter().all(|(_, tier)| *tier == 0));
     s.homes.clear();
-    let gone: Vec<Entry> = (0..4).map(|g| entry(3 * g, Listed::Gone)).collect();
+    let gone: Vec<ListEntry> = (0..4).map(|g| entry(3 * g, ListedState::Gone)).collect();
     s.planner.on_event(s.now, &Event::List(ListKind::Delta, &gone));
     s.advise();
     assert!(s.homes.iter().all(|(_, tier)| *tier == 0), "{:?}", s.homes);
     // Long after, their home is where they are.
     s.now += 700_000 * MS;
-    let there: Vec<Entry> = (0..12).filter(|m| m % 3 != 0).map(|m| entry(m, Listed::Ready)).collect();
+    let there: Vec<ListEntry> =
+        (0..12).filter(|m| m % 3 != 0).map(|m| entry(m, ListedState::Ready)).collect();
     s.planner.on_event(s.now, &Event::List(ListKind::Full, &there));
     s.homes.clear();
     s.advise();
--- a/crates/zones/tests/way_back.rs
+++ b/crates/zones/tests/way_back.rs
@@ -1,6 +1,6 @@
 //! One zone's state and its way back, on made-up assessments: what holds it, what throws it back, what bounds it.
 
-use beaconshore::interface::{Micros, RuleFigures};
+use beaconshore::interface::{Micros, RuleParameters};
 use beaconshore_zones::evidence::{Assessment, Verdict};
 use beaconshore_zones::policy::Policy;
 use beaconshore_zones::ramp::{Move, Ramp, Reason, STEPS};
@@ -14,8 +14,13 @@
     Assessment { known: 4, answering: 4, fresh: 1.0, ..Assessment::default() }
 }
 
-fn rules() -> RuleFigures {
-    RuleFigures { cold_share: 0.2, warm_within: 10 * SECOND, fall_multiple: 2.0, ..RuleFigures::default() }
+fn rules() -> RuleParameters {
+    RuleParameters {
+        cold_share: 0.2,
+        warm_up_time: 10 * SECOND,
+        overload_multiple: 2.0,
+        ..RuleParameters::default()
+    }
 }
 
 /// Looks every 50 ms with so many good answers each time, until something moves or the time is over.
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -87,18 +87,18 @@
     /// What a repeat may do.
     pub effect: Effect,
     /// Answered within this it earns its full worth.
-    pub aim: Micros,
+    pub latency_target: Micros,
     /// A client waits this long over all its tries.
     pub deadline: Micros,
     /// Worth of an answer in time.
-    pub worth: f64,
+    pub value: f64,
     /// Share of the worth that a late answer earns.
-    pub late_worth: f64,
+    pub late_value_share: f64,
 }
 
 /// How membership lists come.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Discovery {
+pub enum DiscoveryMode {
     /// Unasked.
     #[default]
     Pushed,
@@ -108,7 +108,7 @@
 
 /// Who knows what a session has written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum SessionMarks {
+pub enum SessionTracking {
     /// The client says so with each read.
     #[default]
     Client,
@@ -145,19 +145,19 @@
 
 /// The figures of the rules.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct RuleFigures {
+pub struct RuleParameters {
     /// Unsubscribed and silent for this long, a router counts as told of all that was listed.
-    pub ask_within: Micros,
+    pub resubscribe_within: Micros,
     /// Only an entry that says draining binds; a missing or gone one does not.
     pub only_draining_binds: bool,
     /// Least share of its capacity with which a member starts.
     pub cold_share: f64,
     /// It is warm after this.
-    pub warm_within: Micros,
+    pub warm_up_time: Micros,
     /// Over this multiple of its present capacity...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ...for this long, a cold member falls over.
-    pub fall_window: Micros,
+    pub overload_window: Micros,
 }
 
 /// All that a router is told at start.
@@ -172,15 +172,15 @@
     /// Request classes, by index.
     pub classes: Vec<Class>,
     /// How lists come.
-    pub discovery: Discovery,
+    pub discovery: DiscoveryMode,
     /// Who knows what a session has written.
-    pub session_marks: SessionMarks,
+    pub session_tracking: SessionTracking,
     /// Who checks a member's lag.
     pub lag_check: LagCheck,
     /// What the site permits.
     pub limits: Limits,
     /// The figures of the rules.
-    pub rules: RuleFigures,
+    pub rules: RuleParameters,
 }
 
 /// A member's part in its group.
@@ -194,7 +194,7 @@
 
 /// What the list says of a member's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Listed {
+pub enum ListedState {
     /// In service.
     Ready,
     /// Finishing its work; nothing new may go there.
@@ -205,7 +205,7 @@
 
 /// A member as the list shows it.
 #[derive(Clone, Debug)]
-pub struct Entry {
+pub struct ListEntry {
     /// Which member.
     pub member: MemberId,
     /// Its group.
@@ -213,7 +213,7 @@
     /// Its zone.
     pub zone: ZoneId,
     /// Its state.
-    pub listed: Listed,
+    pub listed: ListedState,
     /// When it last started, if that is not long ago.
     pub started: Option<Micros>,
     /// Whether the list holds it to be the primary.
@@ -248,7 +248,7 @@
 
 /// What an answer says of the member that gave it, exact as of the answer.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Note {
+pub struct ReplyStatus {
     /// Its position; for a write that went through, the commit.
     pub position: Option<Micros>,
     /// Its role.
@@ -268,22 +268,22 @@
 
 /// What planners say of a zone. It only narrows what a router may do: no word makes a member eligible.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ZoneWord {
+pub struct ZoneAdvice {
     /// Which zone.
     pub zone: ZoneId,
     /// Place in this router's order of preference, 0 first. Without any word it is 0 for its own zone, 1 for others.
     pub tier: u16,
     /// Its members fail together: all of them count as possibly dead.
-    pub doubted: bool,
+    pub suspected: bool,
     /// Share of reads that may go there, by a lot that each request draws once.
-    pub share: f64,
+    pub read_share: f64,
     /// What it may be sent beyond the work that is at home there; none: no limit.
-    pub spill: Option<Spill>,
+    pub spill: Option<SpillLimit>,
 }
 
 /// What a zone may be sent of reads that are at home in zones preferred to it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Spill {
+pub struct SpillLimit {
     /// Work that may still go there until the next word, in microseconds.
     pub credit: f64,
     /// Share of such reads that may go there, by class.
@@ -294,7 +294,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Advice {
     /// Zones.
-    pub zones: Vec<ZoneWord>,
+    pub zones: Vec<ZoneAdvice>,
     /// The tier in which a group's reads are at home: the best in which it usually has members.
     pub homes: Vec<(GroupId, u16)>,
 }
@@ -320,7 +320,7 @@
     /// The member answered with an error; may have run.
     Error,
     /// Turned away unseen: full or draining. Never ran.
-    Full,
+    Rejected,
     /// No answer in time; may have run.
     TimedOut,
     /// No connection. Never ran.
@@ -330,15 +330,15 @@
     /// Cancelled; may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    NeverSent,
     /// Turned away untouched: not the primary, or lagging too far. Never ran.
-    Misplaced,
+    Misdirected,
 }
 
 impl Outcome {
     /// Whether this outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::Unreachable | Outcome::Moot | Outcome::Misplaced)
+        matches!(self, Outcome::Rejected | Outcome::Unreachable | Outcome::NeverSent | Outcome::Misdirected)
     }
 }
 
@@ -363,7 +363,7 @@
 
 /// How a request's route narrows what a router may do for it. The default narrows nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Narrow {
+pub struct RouteLimits {
     /// Attempts.
     pub attempts: u32,
     /// Time for an attempt; 0: what is left.
@@ -374,15 +374,15 @@
     pub zones: u64,
 }
 
-impl Default for Narrow {
+impl Default for RouteLimits {
     fn default() -> Self {
-        Narrow { attempts: u32::MAX, attempt: 0, staleness: Micros::MAX, zones: u64::MAX }
+        RouteLimits { attempts: u32::MAX, attempt: 0, staleness: Micros::MAX, zones: u64::MAX }
     }
 }
 
 /// The end of an attempt.
 #[derive(Clone, Debug)]
-pub struct Ended {
+pub struct AttemptResult {
     /// Its request.
     pub request: RequestId,
     /// Where it was sent.
@@ -390,7 +390,7 @@
     /// How it ended.
     pub outcome: Outcome,
     /// What the answer said of the member.
-    pub note: Note,
+    pub note: ReplyStatus,
     /// Time since the send.
     pub took: Micros,
     /// Whether the request has its final answer.
@@ -403,16 +403,16 @@
 #[derive(Clone, Debug)]
 pub enum Event<'a> {
     /// The list, or news of it.
-    List(ListKind, &'a [Entry]),
+    List(ListKind, &'a [ListEntry]),
     /// A request.
     Request(Request),
     /// A request that its route narrows.
-    Narrowed(Request, Narrow),
+    RequestWithLimits(Request, RouteLimits),
     /// What is to be heeded at the end of an open request's attempt, told right before that: no further one before
     /// this time, or none at all.
-    Rest(RequestId, Option<Micros>),
+    RetryNotBefore(RequestId, Option<Micros>),
     /// The end of an attempt.
-    AttemptEnded(Ended),
+    AttemptEnded(AttemptResult),
     /// The end of a probe.
     ProbeEnded {
         /// Which member.
@@ -429,7 +429,7 @@
     /// What the planner of another router, by its number, tells those here.
     SpillLoans(u32, Vec<SpillLoan>),
     /// The client is gone; nothing is owed any more.
-    HungUp(RequestId),
+    ClientDisconnected(RequestId),
     /// The timer that the router set is due.
     Timer,
 }
@@ -462,7 +462,7 @@
     /// Nothing refers to a member any more: what belongs to it can go. Should it be listed again, it is a new one.
     Forget(MemberId),
     /// Tell all other routers what members said.
-    TellPeers(Vec<MemberUpdate>),
+    SendPeerUpdates(Vec<MemberUpdate>),
     /// Tell all other routers what planners have to say; it may be lost.
     SpillLoans(Vec<SpillLoan>),
     /// Wake the router after this time.
--- a/src/policy/broadcast.rs
+++ b/src/policy/broadcast.rs
@@ -2,7 +2,7 @@
 //! no rule, for a router that hears nothing finds out by itself (`docs/design/probe-sharing.md`).
 
 use crate::interface::{MemberUpdate, Micros, Settings};
-use crate::policy::probe_share::{lag_pause, PROBE_PERIOD};
+use crate::policy::probe_share::{lagging_replica_pause, PROBE_PERIOD};
 
 /// Positions are told once in this part of the tightest bound.
 const NEWS: u64 = 2;
@@ -39,7 +39,7 @@
         let lag = now.saturating_sub(position);
         let period = match known {
             true => self.bound.max(PROBE_PERIOD) / NEWS,
-            false if lag > self.bound => lag_pause(lag).max(self.bound / NEWS),
+            false if lag > self.bound => lagging_replica_pause(lag).max(self.bound / NEWS),
             false => self.bound / NEWS,
         };
         self.allowed && now > shared.saturating_add(period)
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -7,10 +7,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::interface::*;
-use crate::random::{share_of, Random};
+use crate::random::{unit_hash, Random};
 use crate::records::{Group, Held, Member, Open};
 use broadcast::Broadcast;
-use probe_share::{lag_pause, ProbeShare, PROBE_PERIOD};
+use probe_share::{lagging_replica_pause, ProbeShare, PROBE_PERIOD};
 
 /// Pause between rounds of due work, in steps: short against every aim, dear in no site's CPU share.
 const TICK_STEPS: u64 = 2;
@@ -81,9 +81,9 @@
     refused: f64,                                     // Share of attempts of late that got no connection.
     lost: f64,   // Share of attempts of late that had no answer, while their members answered others.
     useful: f64, // Share of attempts of late that were served.
-    zones: BTreeMap<ZoneId, ZoneWord>, // What planners say; without a word: own zone first, all others alike.
+    zones: BTreeMap<ZoneId, ZoneAdvice>, // What planners say; without a word: own zone first, all others alike.
     homes: BTreeMap<GroupId, u16>, // The tier in which a group's reads are at home, where planners say it.
-    busy: BTreeSet<GroupId>, // Groups that were asked of late or have a line.
+    busy: BTreeSet<GroupId>,       // Groups that were asked of late or have a line.
     resubscribe_at: Option<Micros>,
 }
 
@@ -92,7 +92,7 @@
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
         let bound = |c: &Class| if let Consistency::Bounded(b) = c.consistency { b } else { Micros::MAX };
         let bound = settings.classes.iter().map(bound).min().unwrap_or(Micros::MAX);
-        let services = settings.classes.iter().map(|c| Service::new(c.aim as f64)).collect();
+        let services = settings.classes.iter().map(|c| Service::new(c.latency_target as f64)).collect();
         let (tick, random) = (settings.step * TICK_STEPS, Random::new(seed));
         let (probe_share, broadcast) = (ProbeShare::new(&settings), Broadcast::new(&settings, bound, now));
         let parts = Router { probe_share, broadcast, now, services, useful: 1.0, ..Router::default() };
@@ -104,23 +104,24 @@
         self.now = now;
         match event {
             Event::List(kind, entries) => self.on_list(*kind, entries, out),
-            Event::Request(request) => self.on_request(request, Narrow::default(), out),
-            Event::Narrowed(request, narrow) => self.on_request(request, *narrow, out),
-            Event::Rest(request, until) => self.on_rest(*request, *until),
+            Event::Request(request) => self.on_request(request, RouteLimits::default(), out),
+            Event::RequestWithLimits(request, narrow) => self.on_request(request, *narrow, out),
+            Event::RetryNotBefore(request, until) => self.on_rest(*request, *until),
             Event::AttemptEnded(ended) => self.on_outcome(ended, out),
             Event::ProbeEnded { member, outcome, report } => self.on_probe(*member, *outcome, report, out),
             Event::PeerUpdates(words) => self.on_words(words),
             Event::Advice(advice) => self.on_advice(advice, out),
-            Event::HungUp(request) => drop(self.held.remove(request)),
+            Event::ClientDisconnected(request) => drop(self.held.remove(request)),
             Event::SpillLoans(..) => {}
             Event::Timer => self.on_tick(out),
         }
     }
 
-    fn on_list(&mut self, kind: ListKind, entries: &[Entry], out: &mut Vec<Action>) {
+    fn on_list(&mut self, kind: ListKind, entries: &[ListEntry], out: &mut Vec<Action>) {
         if kind == ListKind::Failed {
             // Anywhere within a quarter of the time allowed: a whole fleet may have failed at once.
-            self.resubscribe_at = Some(self.now + self.random.draw(self.settings.rules.ask_within / 4));
+            self.resubscribe_at =
+                Some(self.now + self.random.draw(self.settings.rules.resubscribe_within / 4));
             return;
         }
         self.resubscribe_at = None;
@@ -136,21 +137,21 @@
             let mine = self.probe_share.share(all, Some(1), 1, &mut self.random);
             self.probe_all(mine, out);
             out.push(Action::SetTimer(self.tick));
-            out.extend((self.settings.discovery == Discovery::OnRequest).then_some(Action::Subscribe));
+            out.extend((self.settings.discovery == DiscoveryMode::OnRequest).then_some(Action::Subscribe));
         }
         self.pump_busy(out);
     }
 
-    fn on_entry(&mut self, entry: &Entry) {
+    fn on_entry(&mut self, entry: &ListEntry) {
         let new = Member { id: entry.member, limit: FIRST_LIMIT, ..Member::default() };
         let m = self.members.entry(entry.member).or_insert(new);
         let claims = entry.primary && !m.listed_primary;
         (m.group, m.zone, m.listed_primary) = (entry.group, entry.zone, entry.primary);
-        m.gone = entry.listed == Listed::Gone;
+        m.gone = entry.listed == ListedState::Gone;
         m.barred = match entry.listed {
-            Listed::Ready => false,
-            Listed::Draining => true,
-            Listed::Gone => m.barred || !self.settings.rules.only_draining_binds,
+            ListedState::Ready => false,
+            ListedState::Draining => true,
+            ListedState::Gone => m.barred || !self.settings.rules.only_draining_binds,
         };
         let restarted = entry.started > m.started;
         if restarted {
@@ -169,7 +170,7 @@
     }
 
     fn on_advice(&mut self, advice: &Advice, out: &mut Vec<Action>) {
-        let opens = |w: &ZoneWord| self.zones.get(&w.zone).is_none_or(|old| old.doubted && !w.doubted);
+        let opens = |w: &ZoneAdvice| self.zones.get(&w.zone).is_none_or(|old| old.suspected && !w.suspected);
         let opened = advice.zones.iter().any(opens);
         self.zones.extend(advice.zones.iter().map(|w| (w.zone, w.clone())));
         self.homes.extend(advice.homes.iter().copied());
@@ -193,12 +194,13 @@
         let bound = self.settings.classes[held.class].consistency.needs_primary();
         let allowed = bound || held.narrow.zones >> u32::from(m.zone.0).min(63) & 1 == 1;
         let Some(word) = self.zones.get(&m.zone).filter(|_| !bound) else { return allowed };
-        let lot = share_of(held.lot ^ u64::from(word.zone.0) << 32);
+        let lot = unit_hash(held.lot ^ u64::from(word.zone.0) << 32);
         let work = self.services[held.class].base;
-        let fits = |s: &Spill| s.credit >= work && s.shares.get(held.class).is_none_or(|share| lot < *share);
+        let fits =
+            |s: &SpillLimit| s.credit >= work && s.shares.get(held.class).is_none_or(|share| lot < *share);
         // The lot by which cold and silent members are tried: shares of one request are not multiplied.
         allowed
-            && self.lot(held, m) < word.share
+            && self.lot(held, m) < word.read_share
             && (!self.spills(held, m.zone) || word.spill.as_ref().is_none_or(fits))
     }
 
@@ -249,7 +251,7 @@
     }
 
     /// Reads health and load from the end of an attempt.
-    fn on_answer(&mut self, ended: &Ended, out: &mut Vec<Action>) {
+    fn on_answer(&mut self, ended: &AttemptResult, out: &mut Vec<Action>) {
         let (id, outcome) = (ended.member, ended.outcome);
         self.learn_report(id, &ended.report);
         let now = self.now;
@@ -265,10 +267,10 @@
         // One that others outran was lost by its connection, and says nothing of its member.
         let lost = outcome == Outcome::TimedOut && m.last_answer >= attempt.sent;
         let bound = self.settings.classes[attempt.class].consistency.needs_primary();
-        let lags = outcome == Outcome::Misplaced && !bound;
+        let lags = outcome == Outcome::Misdirected && !bound;
         m.turned = if lags { now } else { m.turned };
         match outcome {
-            Outcome::Served | Outcome::Misplaced | Outcome::Error => {
+            Outcome::Served | Outcome::Misdirected | Outcome::Error => {
                 (m.failures, m.unanswered, m.last_answer) = (0, 0, now);
             }
             // Silence counts only after the time that nearly all answers take.
@@ -288,12 +290,14 @@
         // Members that accept few connections are not to have them taken up by idle ones of a whole fleet.
         out.extend((m.open.is_empty() && self.refused > SCARCE).then_some(Action::CloseIdle(id)));
         let service = &mut self.services[attempt.class];
-        let aim = self.settings.classes[attempt.class].aim as f64;
+        let latency_target = self.settings.classes[attempt.class].latency_target as f64;
         let least = (FIRST_LIMIT / f64::from(self.settings.routers.max(1))).min(1.0);
         let late = ended.took as f64 - service.base;
         let strain = match outcome {
-            Outcome::Served | Outcome::TimedOut if !lost || self.lost < SCARCE => late / service.spare(aim),
-            Outcome::Full => 3.0,
+            Outcome::Served | Outcome::TimedOut if !lost || self.lost < SCARCE => {
+                late / service.spare(latency_target)
+            }
+            Outcome::Rejected => 3.0,
             _ => return,
         };
         (outcome == Outcome::Served).then(|| service.add(ended.took as f64));
@@ -326,10 +330,10 @@
 
     /// Whether nothing speaks against a member; else it is possibly dead, and dropped after some failures.
     fn is_good(&self, m: &Member) -> bool {
-        let doubted = self.zones.get(&m.zone).is_some_and(|word| word.doubted);
+        let suspected = self.zones.get(&m.zone).is_some_and(|word| word.suspected);
         let overdue = |o: &Open| self.now > o.sent + 2 * self.services[o.class].tail() as Micros;
         let doubts = m.open.iter().filter(|o| m.last_answer < o.sent && overdue(o)).count() as u32;
-        !doubted && m.failures == 0 && m.unanswered + doubts < SILENT
+        !suspected && m.failures == 0 && m.unanswered + doubts < SILENT
     }
 
     /// The last known primary of a group, unless nothing new may go there.
@@ -347,14 +351,14 @@
         ids.filter_map(|id| self.members.get(id)).filter(move |m| m.group == group)
     }
 
-    fn on_request(&mut self, request: &Request, narrow: Narrow, out: &mut Vec<Action>) {
+    fn on_request(&mut self, request: &Request, narrow: RouteLimits, out: &mut Vec<Action>) {
         if request.class >= self.settings.classes.len() {
             return out.push(Action::Fail(request.id));
         }
         let remembered = request.session.and_then(|s| self.sessions.get(&s)).copied();
-        let floor = match self.settings.session_marks {
-            SessionMarks::Client => request.last_write_ago.map_or(0, |ago| self.now.saturating_sub(ago)),
-            SessionMarks::Router => remembered.unwrap_or(self.now.saturating_sub(SESSION_MEMORY)),
+        let floor = match self.settings.session_tracking {
+            SessionTracking::Client => request.last_write_ago.map_or(0, |ago| self.now.saturating_sub(ago)),
+            SessionTracking::Router => remembered.unwrap_or(self.now.saturating_sub(SESSION_MEMORY)),
         };
         let Request { class, group, session, budget, repeat, .. } = *request;
         let (ends, half, lot) = (self.now + budget, self.now + budget / 2, self.random.draw(u64::MAX));
@@ -367,7 +371,7 @@
             budget if repeat || budget > usual => deadline.saturating_sub(budget),
             budget => usual - budget,
         };
-        let spent = repeat && age == 0 && self.settings.classes[class].late_worth == 0.0;
+        let spent = repeat && age == 0 && self.settings.classes[class].late_value_share == 0.0;
         let arrived = self.now.saturating_sub(age);
         let times = Held { arrived, ends, half, ..Held::default() };
         let held = Held { class, group, session, spent, lot, floor, narrow, ..times };
@@ -423,14 +427,14 @@
 
     fn precedence(&self, held: &Held) -> (i64, Micros) {
         let (class, service) = (&self.settings.classes[held.class], &self.services[held.class]);
-        (-(class.worth * self.value(held) / service.base * 1e9) as i64, held.arrived)
+        (-(class.value * self.value(held) / service.base * 1e9) as i64, held.arrived)
     }
 
     /// Share of its worth that a request can still earn, at least a little.
     fn value(&self, held: &Held) -> f64 {
         let class = &self.settings.classes[held.class];
-        let late = self.now + self.services[held.class].mean as Micros > held.arrived + class.aim;
-        [1.0, class.late_worth.max(SPENT_SHARE)][usize::from(late || held.spent)]
+        let late = self.now + self.services[held.class].mean as Micros > held.arrived + class.latency_target;
+        [1.0, class.late_value_share.max(SPENT_SHARE)][usize::from(late || held.spent)]
     }
 
     /// Where to send a request now; nowhere: it waits.
@@ -478,7 +482,7 @@
         if limit >= 1.0 && self.is_good(m) {
             return (m.open.len() as f64) < limit;
         }
-        let density = |i: usize| self.settings.classes[i].worth / self.services[i].base;
+        let density = |i: usize| self.settings.classes[i].value / self.services[i].base;
         let here = |i: &usize| self.is_primary(m) || !self.is_write(*i);
         let best = (0..self.services.len()).filter(here).map(density).fold(0.0, f64::max);
         let limit = limit.min(1.0).powf((best / density(held.class)).sqrt());
@@ -549,7 +553,7 @@
     fn warmth(&self, m: &Member) -> f64 {
         let rules = &self.settings.rules;
         let Some(age) = m.started.map(|s| self.now.saturating_sub(s)) else { return 1.0 };
-        let grown = (age as f64 / rules.warm_within.max(1) as f64).min(1.0);
+        let grown = (age as f64 / rules.warm_up_time.max(1) as f64).min(1.0);
         rules.cold_share + (1.0 - rules.cold_share) * grown
     }
 
@@ -557,16 +561,17 @@
     /// it sends enough; else by lot that part of one member's worth of its requests, one at a time: any fleet
     /// keeps the budget, and no burst spends it. Where one write of each router is little, each sends one.
     fn cold_room(&self, held: &Held, m: &Member) -> bool {
-        let share = self.warmth(m) * self.settings.rules.fall_multiple * COLD_MARGIN * self.useful;
+        let share = self.warmth(m) * self.settings.rules.overload_multiple * COLD_MARGIN * self.useful;
         let others = || self.group_members(m.group).filter(|o| !o.barred);
         // What failed elsewhere is no reason for more here: reads come on their first attempt only.
         let first = held.tried.is_empty() || self.is_primary(m);
         let work = self.services[held.class].base;
-        let load = |m| load_left(m, self.now, self.settings.rules.fall_window);
+        let load = |m| load_left(m, self.now, self.settings.rules.overload_window);
         let warm = others().filter(|o| self.warmth(o) >= 1.0);
         let (count, sum) = warm.fold((0.0, 0.0), |(count, sum), o| (count + 1.0, sum + load(o)));
         let part = sum / f64::max(count, 1.0) * share;
-        let all = f64::from(self.settings.routers) * work <= share * self.settings.rules.fall_window as f64;
+        let all =
+            f64::from(self.settings.routers) * work <= share * self.settings.rules.overload_window as f64;
         // One that is not asked stays next in turn: the lot alone says how many of a fleet's requests come.
         let worth = if self.is_write(held.class) { 1.0 } else { 1.0 / others().count().max(1) as f64 };
         let by_lot = load(m) < work / 2.0 && self.lot(held, m) < share * worth;
@@ -585,7 +590,7 @@
 
     /// A number from 0 to 1 for this request at this member, the same whenever it is asked for.
     fn lot(&self, held: &Held, m: &Member) -> f64 {
-        share_of(held.lot ^ u64::from(m.id.0))
+        unit_hash(held.lot ^ u64::from(m.id.0))
     }
 
     /// Rule 2: a refusal promises that trying again is harmless.
@@ -604,19 +609,19 @@
         let spill = spilled.and_then(|zone| self.zones.get_mut(&zone)?.spill.as_mut());
         spill.into_iter().for_each(|spill| spill.credit -= service.base);
         let class = &self.settings.classes[held.class];
-        let patience = (service.tail() as Micros).max(class.aim / 2) << held.tried.len();
-        let useful = class.late_worth > 0.0 && class.effect != Effect::Unsafe;
+        let patience = (service.tail() as Micros).max(class.latency_target / 2) << held.tried.len();
+        let useful = class.late_value_share > 0.0 && class.effect != Effect::Unsafe;
         let wait = if useful && self.lost > SCARCE { patience } else { 0 };
         let wait = [wait, held.narrow.attempt].into_iter().filter(|w| *w > 0).min().unwrap_or(0);
         held.out = Some(now);
         held.tried.push(to);
         m.open.push(Open { request: id, sent: now, class: held.class });
-        m.load = load_left(m, now, self.settings.rules.fall_window) + service.base;
+        m.load = load_left(m, now, self.settings.rules.overload_window) + service.base;
         m.last_sent = now;
         out.push(Action::Send { request: id, member: to, wait });
     }
 
-    fn on_outcome(&mut self, ended: &Ended, out: &mut Vec<Action>) {
+    fn on_outcome(&mut self, ended: &AttemptResult, out: &mut Vec<Action>) {
         self.on_answer(ended, out);
         let id = ended.request;
         let Some(held) = self.held.get_mut(&id) else { return };
@@ -644,7 +649,8 @@
         let (class, service) = (&self.settings.classes[held.class], &self.services[held.class]);
         let lost = self.primary(held.group).is_none_or(|p| !self.is_good(p));
         let end = if lost && held.tried.is_empty() { held.half } else { held.ends };
-        let useful = if class.late_worth > 0.0 { held.ends } else { held.arrived + class.aim };
+        let useful =
+            if class.late_value_share > 0.0 { held.ends } else { held.arrived + class.latency_target };
         let end = end.saturating_sub(2 * self.tick).min(useful.saturating_sub(service.mean as Micros));
         let spent = held.tried.len() >= self.settings.limits.max_attempts.min(held.narrow.attempts) as usize;
         spent || held.errors >= BLAMED || !self.may_repeat(held, None) || self.now >= end
@@ -653,7 +659,8 @@
     fn give_up(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(held) = self.held.get(&id) else { return };
         let (class, limits) = (&self.settings.classes[held.class], &self.settings.limits);
-        let retry_after = if limits.retry_after { limits.max_retry_after.min(class.aim / 2) } else { 0 };
+        let retry_after =
+            if limits.retry_after { limits.max_retry_after.min(class.latency_target / 2) } else { 0 };
         out.push(if self.may_refuse(held) {
             Action::Refuse { request: id, retry_after }
         } else {
@@ -664,9 +671,9 @@
 
     fn on_tick(&mut self, out: &mut Vec<Action>) {
         out.push(Action::SetTimer(self.tick));
-        out.extend(self.broadcast.due(self.now).map(Action::TellPeers));
+        out.extend(self.broadcast.due(self.now).map(Action::SendPeerUpdates));
         if self.resubscribe_at.is_some_and(|at| at <= self.now) {
-            self.resubscribe_at = Some(self.now + self.settings.rules.ask_within / 4);
+            self.resubscribe_at = Some(self.now + self.settings.rules.resubscribe_within / 4);
             out.push(Action::Subscribe);
         }
         if self.now % PROBE_PERIOD < self.tick {
@@ -703,7 +710,7 @@
         let near = |m: &&&Member| Some(self.tier(m.zone)) == nearest;
         let least = if fresh.iter().any(|m| near(&m)) { PROBE_PERIOD } else { bound / 2 };
         let lag = |m: &Member| self.now.saturating_sub(m.position);
-        let pause = |m: &Member| least.max(lag_pause(lag(m))).min(PROBE_PERIOD);
+        let pause = |m: &Member| least.max(lagging_replica_pause(lag(m))).min(PROBE_PERIOD);
         let due = stale.iter().filter(|m| m.heard == 0 || fresh.is_empty() || near(m));
         // Each of a fleet takes its part of those that may be asked: new ones, then the nearest; or by lot.
         let ripe = |m: &&&Member| !m.probe_out && self.now >= m.heard.max(m.probe_sent) + pause(m);
@@ -783,8 +790,8 @@
 
 impl Service {
     /// Until answers come, a class is taken to need a quarter of its aim.
-    fn new(aim: f64) -> Self {
-        Service { mean: aim / 4.0, base: aim / 4.0, budget: 0, votes: 0 }
+    fn new(latency_target: f64) -> Self {
+        Service { mean: latency_target / 4.0, base: latency_target / 4.0, budget: 0, votes: 0 }
     }
 
     fn vote(&mut self, budget: Micros, slack: Micros) -> Micros {
@@ -806,7 +813,7 @@
     }
 
     /// Waiting that a member may add on average while the class's aim holds for nearly all.
-    fn spare(&self, aim: f64) -> f64 {
-        (SPARE_SHARE * (aim - 3.0 * self.base).max(self.base)).max(1.0)
+    fn spare(&self, latency_target: f64) -> f64 {
+        (SPARE_SHARE * (latency_target - 3.0 * self.base).max(self.base)).max(1.0)
     }
 }
--- a/src/policy/probe_share.rs
+++ b/src/policy/probe_share.rs
@@ -13,7 +13,7 @@
 const LAG_SHARE: Micros = 4;
 
 /// Pause before a replica that lags is asked again, in microseconds: it needs time to catch up.
-pub fn lag_pause(lag: Micros) -> Micros {
+pub fn lagging_replica_pause(lag: Micros) -> Micros {
     (lag / LAG_SHARE).min(PROBE_PERIOD)
 }
 
--- a/src/random.rs
+++ b/src/random.rs
@@ -26,7 +26,7 @@
 }
 
 /// A number from 0 to 1 that goes with another one, whenever it is asked for.
-pub fn share_of(number: u64) -> f64 {
+pub fn unit_hash(number: u64) -> f64 {
     (number.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 11) as f64 / (1u64 << 53) as f64
 }
 
@@ -43,7 +43,7 @@
             let count = drawn.iter().filter(|&&n| n == number).count();
             assert!((850..1150).contains(&count), "{number}: {count}");
         }
-        let low = (0..10_000).filter(|&n| share_of(one.draw(u64::MAX) ^ n) < 0.3).count();
+        let low = (0..10_000).filter(|&n| unit_hash(one.draw(u64::MAX) ^ n) < 0.3).count();
         assert!((2_800..3_200).contains(&low), "{low}");
     }
 }
--- a/src/records.rs
+++ b/src/records.rs
@@ -64,7 +64,7 @@
     pub(crate) out: Option<Micros>, // When the attempt that is out was sent.
     pub(crate) tried: Vec<MemberId>,
     pub(crate) errors: u32,                      // Members that answered with an error.
-    pub(crate) narrow: Narrow, // By its route: this is heeded beside all else, never instead.
-    pub(crate) rests: Micros,  // No attempt before this time.
+    pub(crate) narrow: RouteLimits, // By its route: this is heeded beside all else, never instead.
+    pub(crate) rests: Micros,       // No attempt before this time.
     pub(crate) risk: Option<(Micros, MemberId)>, // First send that may have run, and where.
 }
--- a/src/sizes.rs
+++ b/src/sizes.rs
@@ -4,7 +4,7 @@
 
 /// Entries of a router's tables.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Sizes {
+pub struct TableSizes {
     /// Members that it knows.
     pub members: usize,
     /// Groups.
@@ -17,8 +17,8 @@
 
 impl Router {
     /// The sizes of its tables.
-    pub fn sizes(&self) -> Sizes {
-        Sizes {
+    pub fn sizes(&self) -> TableSizes {
+        TableSizes {
             members: self.members.len(),
             groups: self.groups.len(),
             requests: self.held.len(),
--- a/tests/cold_sum.rs
+++ b/tests/cold_sum.rs
@@ -68,11 +68,11 @@
 fn play(routers: u32, day: Day, seed: u64, length: Micros) -> Found {
     let settings = Settings { routers, ..settings() };
     let rules = settings.rules.clone();
-    let unaware: Vec<Entry> = (1..=MEMBERS).map(|member| entry(member, 0, member == 1)).collect();
+    let unaware: Vec<ListEntry> = (1..=MEMBERS).map(|member| entry(member, 0, member == 1)).collect();
     let mut list = unaware.clone();
     list[1].started = Some(START);
     let mut random = Random::new(seed);
-    let started = |now: Micros, list: &[Entry], random: &mut Random| {
+    let started = |now: Micros, list: &[ListEntry], random: &mut Random| {
         let mut stage = Stage::seeded(random.draw(u64::MAX), settings.clone(), list).0;
         stage.now = now;
         (1..=MEMBERS).for_each(|member| drop(stage.probed(member, now, member == 1)));
@@ -98,13 +98,13 @@
             let (router, request, member, outcome, took) = first.remove();
             fleet[router].now = now;
             fleet[router].took = took;
-            events.push((router, fleet[router].ended(request, member, outcome, Note::default())));
+            events.push((router, fleet[router].ended(request, member, outcome, ReplyStatus::default())));
         }
         if now == START + LATE {
             let late = (0..fleet.len()).filter(|router| is_late(*router));
             late.for_each(|router| drop(fleet[router].list(ListKind::Delta, &list[1..2])));
         }
-        if day == Day::Restarted && now == START + rules.fall_window {
+        if day == Day::Restarted && now == START + rules.overload_window {
             (0..fleet.len()).step_by(2).for_each(|router| {
                 fleet[router] = started(now, &list, &mut random);
             });
@@ -148,13 +148,13 @@
                 }
             }
         }
-        at_cold.retain(|(at, ..)| *at + rules.fall_window >= now);
+        at_cold.retain(|(at, ..)| *at + rules.overload_window >= now);
         let sum: f64 = at_cold.iter().map(|(_, work, _)| work).sum();
         let told: f64 = at_cold.iter().filter(|(.., told)| *told).map(|(_, work, _)| work).sum();
         // What it can do at the window's start is the least that the rule can count.
-        let age = now.saturating_sub(START + rules.fall_window) as f64 / rules.warm_within as f64;
+        let age = now.saturating_sub(START + rules.overload_window) as f64 / rules.warm_up_time as f64;
         let warmth = rules.cold_share + (1.0 - rules.cold_share) * age.min(1.0);
-        let allowed = rules.fall_multiple * warmth * WARM * rules.fall_window as f64 / 1e6;
+        let allowed = rules.overload_multiple * warmth * WARM * rules.overload_window as f64 / 1e6;
         if told > sum * 2.0 / 3.0 {
             worst = worst.max(sum / (allowed + 2.0 * allowed.sqrt() + 2.0));
         }
@@ -196,7 +196,7 @@
         let found = play(routers, Day::Calm, 1, 20_000 * MS);
         let after = found.warm_after.unwrap_or_else(|| panic!("{routers}: it never gets its part"));
         table.push(format!("{routers} routers: two thirds of the others' after {} s", after / 1_000_000));
-        assert!(after <= settings().rules.warm_within + 1_000 * MS, "{routers}: only after {after}");
+        assert!(after <= settings().rules.warm_up_time + 1_000 * MS, "{routers}: only after {after}");
     }
     println!("{}", table.join("\n"));
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -15,8 +15,13 @@
 pub const WINDOW: Micros = 3_000 * MS;
 pub const GRACE: Micros = 500 * MS;
 
-pub fn class(consistency: Consistency, effect: Effect, aim: Micros, late_worth: f64) -> Class {
-    Class { consistency, effect, aim, deadline: 2_000 * MS, worth: 1.0, late_worth }
+pub fn class(
+    consistency: Consistency,
+    effect: Effect,
+    latency_target: Micros,
+    late_value_share: f64,
+) -> Class {
+    Class { consistency, effect, latency_target, deadline: 2_000 * MS, value: 1.0, late_value_share }
 }
 
 pub fn settings() -> Settings {
@@ -32,8 +37,8 @@
             class(Consistency::Session, Effect::Safe, 500 * MS, 0.0),
             class(Consistency::Write, Effect::Unsafe, 600 * MS, 0.3),
         ],
-        discovery: Discovery::Pushed,
-        session_marks: SessionMarks::Client,
+        discovery: DiscoveryMode::Pushed,
+        session_tracking: SessionTracking::Client,
         lag_check: LagCheck::Router,
         limits: Limits {
             max_attempts: 8,
@@ -43,30 +48,30 @@
             probes: true,
             peer_messages: false,
         },
-        rules: RuleFigures {
-            ask_within: 10_000 * MS,
+        rules: RuleParameters {
+            resubscribe_within: 10_000 * MS,
             only_draining_binds: false,
             cold_share: 0.2,
-            warm_within: 16_000 * MS,
-            fall_multiple: 2.0,
-            fall_window: 1_500 * MS,
+            warm_up_time: 16_000 * MS,
+            overload_multiple: 2.0,
+            overload_window: 1_500 * MS,
         },
     }
 }
 
-pub fn entry(member: u32, zone: u16, primary: bool) -> Entry {
-    Entry {
+pub fn entry(member: u32, zone: u16, primary: bool) -> ListEntry {
+    ListEntry {
         member: MemberId(member),
         group: GroupId(1),
         zone: ZoneId(zone),
-        listed: Listed::Ready,
+        listed: ListedState::Ready,
         started: None,
         primary,
     }
 }
 
 /// A primary (1) and a replica (2) in the router's zone, another replica (3) elsewhere.
-pub fn entries() -> Vec<Entry> {
+pub fn entries() -> Vec<ListEntry> {
     vec![entry(1, 0, true), entry(2, 0, false), entry(3, 1, false)]
 }
 
@@ -80,12 +85,12 @@
 
 impl Stage {
     /// A router that has its first list, but has heard from no member.
-    pub fn silent(settings: Settings, entries: &[Entry]) -> (Stage, Vec<Action>) {
+    pub fn silent(settings: Settings, entries: &[ListEntry]) -> (Stage, Vec<Action>) {
         Stage::seeded(7, settings, entries)
     }
 
     /// One of a fleet: each router has a seed of its own.
-    pub fn seeded(seed: u64, settings: Settings, entries: &[Entry]) -> (Stage, Vec<Action>) {
+    pub fn seeded(seed: u64, settings: Settings, entries: &[ListEntry]) -> (Stage, Vec<Action>) {
         let mut stage =
             Stage { router: Router::new(settings, seed, START), now: START, took: 50 * MS, next: 1 };
         let actions = stage.event(Event::List(ListKind::Cached, entries));
@@ -93,7 +98,7 @@
     }
 
     /// A router to which every member of `entries()` has just answered its first probe.
-    pub fn with(settings: Settings, entries: &[Entry]) -> Stage {
+    pub fn with(settings: Settings, entries: &[ListEntry]) -> Stage {
         let (mut stage, _) = Stage::silent(settings, entries);
         stage.now += 5 * MS;
         for e in entries {
@@ -123,7 +128,7 @@
         actions
     }
 
-    pub fn list(&mut self, kind: ListKind, entries: &[Entry]) -> Vec<Action> {
+    pub fn list(&mut self, kind: ListKind, entries: &[ListEntry]) -> Vec<Action> {
         self.event(Event::List(kind, entries))
     }
 
@@ -165,9 +170,15 @@
     }
 
     /// The end of an attempt; served ones finish their request.
-    pub fn ended(&mut self, request: RequestId, member: u32, outcome: Outcome, note: Note) -> Vec<Action> {
+    pub fn ended(
+        &mut self,
+        request: RequestId,
+        member: u32,
+        outcome: Outcome,
+        note: ReplyStatus,
+    ) -> Vec<Action> {
         let finished = outcome == Outcome::Served;
-        self.event(Event::AttemptEnded(Ended {
+        self.event(Event::AttemptEnded(AttemptResult {
             request,
             member: MemberId(member),
             outcome,
@@ -178,8 +189,8 @@
         }))
     }
 
-    pub fn note(&self, role: Role) -> Note {
-        Note { position: Some(self.now), role: Some(role) }
+    pub fn note(&self, role: Role) -> ReplyStatus {
+        ReplyStatus { position: Some(self.now), role: Some(role) }
     }
 }
 
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -15,7 +15,7 @@
 }
 
 /// A group of 40 replicas and a primary, as one of 120 members would be in three.
-fn many() -> Vec<Entry> {
+fn many() -> Vec<ListEntry> {
     (1..=41).map(|member| entry(member, (member % 3) as u16, member == 1)).collect()
 }
 
@@ -68,7 +68,7 @@
 }
 
 /// A router of a large fleet, whose members were all heard of and have since run out of their bound.
-fn with_stale_records(settings: Settings, list: &[Entry]) -> Stage {
+fn with_stale_records(settings: Settings, list: &[ListEntry]) -> Stage {
     let (mut stage, _) = Stage::seeded(1, settings, list);
     for e in list {
         told(&mut stage, e.member.0, if e.primary { Role::Primary } else { Role::Replica });
@@ -82,7 +82,7 @@
 fn a_replica_that_drains_does_not_take_the_place_of_one_that_can_be_asked() {
     let all = [entry(1, 0, true), entry(2, 0, false), entry(3, 0, false)];
     let mut stage = with_stale_records(among(FLEET), &all);
-    stage.list(ListKind::Delta, &[Entry { listed: Listed::Draining, ..all[1].clone() }]);
+    stage.list(ListKind::Delta, &[ListEntry { listed: ListedState::Draining, ..all[1].clone() }]);
     let (_, actions) = stage.ask(READ);
     assert_eq!([2, 3].map(|m| probes(&actions, m)), [0, 1]);
 }
@@ -100,7 +100,7 @@
 #[test]
 fn a_read_that_no_probe_helps_does_not_keep_those_behind_it_in_line_from_asking() {
     let mut settings = among(FLEET);
-    settings.classes[SESSION].worth = 10.0;
+    settings.classes[SESSION].value = 10.0;
     let mut stage = with_stale_records(settings, &entries());
     for _ in 0..3 {
         stage.probe_failed(1);
@@ -167,7 +167,7 @@
             actions.extend(stage.probed(member, stage.now - MS, member == 1));
             let of = |word: &&MemberUpdate| word.member == MemberId(member);
             let tells =
-                |a: &Action| if let Action::TellPeers(w) = a { w.iter().filter(of).count() } else { 0 };
+                |a: &Action| if let Action::SendPeerUpdates(w) = a { w.iter().filter(of).count() } else { 0 };
             words += actions.iter().map(tells).sum::<usize>();
         }
         words
@@ -187,7 +187,7 @@
         stage.pass(silent);
         let (id, actions) = stage.ask(WRITE);
         assert_eq!(sent(&actions, id), Some(1));
-        stage.ended(id, 1, Outcome::Unreachable, Note::default());
+        stage.ended(id, 1, Outcome::Unreachable, ReplyStatus::default());
         stage.probed(2, stage.now - MS, false);
         let (id, actions) = stage.ask(READ);
         assert_eq!(sent(&actions, id), Some(2));
@@ -202,7 +202,8 @@
 fn tells(heard_every: Option<Micros>) -> usize {
     let (mut stage, _) = Stage::seeded(1, among(FLEET), &entries());
     let (mut tells, begun) = (0, stage.now);
-    let count = |actions: &[Action]| actions.iter().filter(|a| matches!(a, Action::TellPeers(_))).count();
+    let count =
+        |actions: &[Action]| actions.iter().filter(|a| matches!(a, Action::SendPeerUpdates(_))).count();
     told(&mut stage, 2, Role::Replica);
     told(&mut stage, 3, Role::Replica);
     while stage.now < begun + 4_000 * MS {
--- a/tests/ordinary_path.rs
+++ b/tests/ordinary_path.rs
@@ -75,7 +75,7 @@
 #[test]
 fn a_remembered_session_sees_the_writes_answered_here() {
     let mut settings = settings();
-    settings.session_marks = SessionMarks::Router;
+    settings.session_tracking = SessionTracking::Router;
     let mut stage = Stage::with(settings, &entries());
     let session = |r: &mut Request| r.session = Some(SessionId(9));
     let (id, _) = stage.ask_with(WRITE, 2_000 * MS, session);
@@ -88,7 +88,7 @@
 #[test]
 fn a_forgotten_session_still_sees_its_old_writes() {
     let mut settings = settings();
-    settings.session_marks = SessionMarks::Router;
+    settings.session_tracking = SessionTracking::Router;
     let mut stage = Stage::with(settings, &entries());
     let session = |r: &mut Request| r.session = Some(SessionId(9));
     stage.now += 10_000 * MS;
@@ -166,8 +166,8 @@
     stage.pass(2_000 * MS);
     let (id, actions) = stage.ask(READ);
     assert_eq!((sent(&actions, id), probes(&actions, 2)), (Some(2), 0));
-    let note = Note { position: Some(stage.now - 2 * BOUND), role: Some(Role::Replica) };
-    let actions = stage.ended(id, 2, Outcome::Misplaced, note);
+    let note = ReplyStatus { position: Some(stage.now - 2 * BOUND), role: Some(Role::Replica) };
+    let actions = stage.ended(id, 2, Outcome::Misdirected, note);
     assert_eq!(sent(&actions, id), Some(1));
     stage.pass(BOUND);
     let (id, actions) = stage.ask(READ);
@@ -199,9 +199,9 @@
     stage.probed(2, stage.now - 3_000 * MS, false);
     let (id, actions) = stage.ask(READ);
     assert_eq!(sent(&actions, id), Some(3), "first one that was not told to lag");
-    let actions = stage.ended(id, 3, Outcome::Misplaced, Note::default());
+    let actions = stage.ended(id, 3, Outcome::Misdirected, ReplyStatus::default());
     assert_eq!(sent(&actions, id), Some(2), "then one that was");
-    let actions = stage.ended(id, 2, Outcome::Misplaced, Note::default());
+    let actions = stage.ended(id, 2, Outcome::Misdirected, ReplyStatus::default());
     assert_eq!(sent(&actions, id), Some(1), "the primary where both lag indeed");
 }
 
--- a/tests/probe_share.rs
+++ b/tests/probe_share.rs
@@ -1,7 +1,7 @@
 //! How a fleet divides its probes (`docs/design/probe-sharing.md`).
 
 use beaconshore::interface::{Limits, Micros, Settings};
-use beaconshore::policy::probe_share::{lag_pause, ProbeShare, PROBE_PERIOD};
+use beaconshore::policy::probe_share::{lagging_replica_pause, ProbeShare, PROBE_PERIOD};
 use beaconshore::random::Random;
 
 fn fleet(routers: u32, peer_messages: bool) -> ProbeShare {
@@ -52,7 +52,10 @@
 
 #[test]
 fn a_replica_is_asked_more_rarely_the_further_it_lags_but_within_the_usual_period() {
-    assert_eq!([0, 400_000, 4_000_000, 60_000_000].map(lag_pause), [0, 100_000, PROBE_PERIOD, PROBE_PERIOD]);
+    assert_eq!(
+        [0, 400_000, 4_000_000, 60_000_000].map(lagging_replica_pause),
+        [0, 100_000, PROBE_PERIOD, PROBE_PERIOD]
+    );
 }
 
 #[test]
--- a/tests/random_events.rs
+++ b/tests/random_events.rs
@@ -51,8 +51,8 @@
     GroupId(member.0 % 2)
 }
 
-fn listed(member: u32, listed: Listed, primary: bool) -> Entry {
-    Entry { listed, group: group_of(MemberId(member)), ..entry(member, (member / 2 % 3) as u16, primary) }
+fn listed(member: u32, listed: ListedState, primary: bool) -> ListEntry {
+    ListEntry { listed, group: group_of(MemberId(member)), ..entry(member, (member / 2 % 3) as u16, primary) }
 }
 
 impl World {
@@ -66,7 +66,7 @@
             probes: Vec::new(),
             next: 1,
         };
-        let all: Vec<Entry> = (0..8).map(|m| listed(m, Listed::Ready, m < 2)).collect();
+        let all: Vec<ListEntry> = (0..8).map(|m| listed(m, ListedState::Ready, m < 2)).collect();
         world.told.excused = [MemberId(0), MemberId(1)].into();
         world.event(Event::List(ListKind::Cached, &all));
         world
@@ -164,15 +164,16 @@
             Outcome::Served,
             Outcome::Served,
             Outcome::Error,
-            Outcome::Full,
+            Outcome::Rejected,
             Outcome::TimedOut,
             Outcome::Unreachable,
             Outcome::Reset,
-            Outcome::Misplaced,
+            Outcome::Misdirected,
         ];
         let drawn = outcomes[self.dice.roll(8) as usize];
         let outcome = if only.is_some() { Outcome::TimedOut } else { drawn };
-        let speaks = matches!(outcome, Outcome::Served | Outcome::Error | Outcome::Full | Outcome::Misplaced);
+        let speaks =
+            matches!(outcome, Outcome::Served | Outcome::Error | Outcome::Rejected | Outcome::Misdirected);
         let role = if self.dice.roll(3) == 0 { Role::Primary } else { Role::Replica };
         let position = self.now - self.dice.roll(400) * MS;
         let open = self.open.get_mut(&id).unwrap();
@@ -181,7 +182,11 @@
         if !outcome.never_ran() && open.risk.is_none() {
             open.risk = Some(sent);
         }
-        let note = if speaks { Note { position: Some(position), role: Some(role) } } else { Note::default() };
+        let note = if speaks {
+            ReplyStatus { position: Some(position), role: Some(role) }
+        } else {
+            ReplyStatus::default()
+        };
         let finished = open.answered || outcome == Outcome::Served;
         if open.answered {
             self.open.remove(&id);
@@ -192,7 +197,15 @@
             self.tell(member, position, role, !(write && outcome == Outcome::Served));
         }
         let (took, report) = (self.now - sent, Report::default());
-        self.event(Event::AttemptEnded(Ended { request: id, member, outcome, note, took, finished, report }));
+        self.event(Event::AttemptEnded(AttemptResult {
+            request: id,
+            member,
+            outcome,
+            note,
+            took,
+            finished,
+            report,
+        }));
         self.open.retain(|_, o| !o.answered || o.out.is_some());
     }
 
@@ -226,18 +239,18 @@
 
     fn change_list(&mut self) {
         let member = self.dice.roll(8) as u32;
-        let state =
-            [Listed::Ready, Listed::Ready, Listed::Draining, Listed::Gone][self.dice.roll(4) as usize];
+        let state = [ListedState::Ready, ListedState::Ready, ListedState::Draining, ListedState::Gone]
+            [self.dice.roll(4) as usize];
         let primary = self.dice.roll(3) == 0;
         match state {
-            Listed::Ready => drop(self.told.barred.remove(&MemberId(member))),
+            ListedState::Ready => drop(self.told.barred.remove(&MemberId(member))),
             _ => drop(self.told.barred.insert(MemberId(member))),
         }
         if primary {
             self.told.excused.insert(MemberId(member));
         }
         let started = (self.dice.roll(2) == 0).then_some(self.now);
-        let change = [Entry { started, ..listed(member, state, primary) }];
+        let change = [ListEntry { started, ..listed(member, state, primary) }];
         self.event(Event::List(ListKind::Delta, &change));
     }
 
@@ -249,7 +262,7 @@
         let id = open[self.dice.roll(open.len() as u64) as usize];
         let gone = self.open.get_mut(&id).unwrap();
         gone.answered = true;
-        self.event(Event::HungUp(id));
+        self.event(Event::ClientDisconnected(id));
         self.open.retain(|_, o| !o.answered || o.out.is_some());
     }
 
--- a/tests/rules_kept.rs
+++ b/tests/rules_kept.rs
@@ -22,7 +22,7 @@
     let (id, actions) = stage.ask_with(WRITE, 60_000 * MS, |_| {});
     assert_eq!(sent(&actions, id), Some(1));
     stage.now += WINDOW + MS;
-    let actions = stage.ended(id, 1, Outcome::Reset, Note::default());
+    let actions = stage.ended(id, 1, Outcome::Reset, ReplyStatus::default());
     assert!(failed(&actions, id), "and a refusal would promise that nothing ran");
 }
 
@@ -52,10 +52,10 @@
     let mut stage = Stage::new();
     let (id, _) = stage.ask(UNSAFE);
     stage.now += 50 * MS;
-    let actions = stage.ended(id, 1, Outcome::Reset, Note::default());
+    let actions = stage.ended(id, 1, Outcome::Reset, ReplyStatus::default());
     assert!(failed(&actions, id));
     let (id, _) = stage.ask(UNSAFE);
-    let actions = stage.ended(id, 1, Outcome::Full, stage.note(Role::Primary));
+    let actions = stage.ended(id, 1, Outcome::Rejected, stage.note(Role::Primary));
     assert_eq!(sent(&actions, id), Some(1), "turned away unseen: it never ran");
 }
 
@@ -71,7 +71,7 @@
 #[test]
 fn nothing_new_goes_to_a_draining_or_missing_member() {
     let mut stage = Stage::new();
-    let draining = Entry { listed: Listed::Draining, ..entry(2, 0, false) };
+    let draining = ListEntry { listed: ListedState::Draining, ..entry(2, 0, false) };
     stage.list(ListKind::Delta, &[draining]);
     let (id, actions) = stage.ask(READ);
     assert_eq!(sent(&actions, id), Some(3));
@@ -87,7 +87,7 @@
         let (id, actions) = stage.ask(WRITE);
         sent(&actions, id).is_some()
     } {}
-    let draining = Entry { listed: Listed::Draining, ..entry(1, 0, true) };
+    let draining = ListEntry { listed: ListedState::Draining, ..entry(1, 0, true) };
     let mut actions = stage.list(ListKind::Delta, &[draining]);
     actions.extend(stage.ended(RequestId(1), 1, Outcome::Served, stage.note(Role::Primary)));
     actions.extend(stage.pass(100 * MS));
@@ -107,7 +107,7 @@
 #[test]
 fn a_cold_member_gets_a_part_of_what_warm_ones_get() {
     let mut stage = Stage::new();
-    let cold = Entry { started: Some(stage.now), ..entry(2, 0, false) };
+    let cold = ListEntry { started: Some(stage.now), ..entry(2, 0, false) };
     stage.list(ListKind::Delta, &[cold]);
     let mut counts = [0; 4];
     for _ in 0..200 {
@@ -117,7 +117,7 @@
         let (id, actions) = stage.ask(ANY);
         if let Some(member) = sent(&actions, id) {
             counts[member as usize] += 1;
-            stage.ended(id, member, Outcome::Served, Note::default());
+            stage.ended(id, member, Outcome::Served, ReplyStatus::default());
         }
         if stage.now.is_multiple_of(10 * MS) {
             stage.event(Event::Timer);
@@ -131,7 +131,7 @@
 fn a_fleet_that_asks_at_once_leaves_a_cold_member_its_part() {
     let (mut to_cold, fleet) = (0, 300);
     for seed in 1..=fleet {
-        let cold = Entry { started: Some(START), ..entry(2, 0, false) };
+        let cold = ListEntry { started: Some(START), ..entry(2, 0, false) };
         let list = [entry(1, 0, true), cold, entry(3, 1, false)];
         let (mut stage, _) = Stage::seeded(seed * 7919, settings(), &list);
         stage.now += 5 * MS;
@@ -147,7 +147,7 @@
 
 /// A primary and nine replicas, one of which (2) has just started, all known to be fresh.
 fn with_a_cold_replica(seed: u64) -> Stage {
-    let mut list: Vec<Entry> = (1..=10).map(|member| entry(member, 0, member == 1)).collect();
+    let mut list: Vec<ListEntry> = (1..=10).map(|member| entry(member, 0, member == 1)).collect();
     list[1].started = Some(START);
     let (mut stage, _) = Stage::seeded(seed, settings(), &list);
     stage.now += 5 * MS;
@@ -168,10 +168,10 @@
             let (id, actions) = stage.ask(ANY);
             let Some(member) = sent(&actions, id) else { continue };
             first += usize::from(member == 2);
-            let actions = stage.ended(id, member, Outcome::Error, Note::default());
+            let actions = stage.ended(id, member, Outcome::Error, ReplyStatus::default());
             let Some(member) = sent(&actions, id) else { continue };
             second += usize::from(member == 2);
-            stage.ended(id, member, Outcome::Error, Note::default());
+            stage.ended(id, member, Outcome::Error, ReplyStatus::default());
         }
     }
     assert!(first > 0, "it has its turns");
@@ -192,7 +192,7 @@
                 while let Some(member) = sent(&actions, id) {
                     to_cold += usize::from(member == 2);
                     let outcome = if i == 0 { Outcome::Served } else { Outcome::Error };
-                    actions = stage.ended(id, member, outcome, Note::default());
+                    actions = stage.ended(id, member, outcome, ReplyStatus::default());
                 }
             }
         }
@@ -208,10 +208,10 @@
     let (id, actions) = stage.ask_with(WRITE, 3_000 * MS, |_| {});
     let member = sent(&actions, id).unwrap();
     stage.pass(2_000 * MS);
-    let drained: Vec<Entry> =
-        entries().into_iter().map(|e| Entry { listed: Listed::Draining, ..e }).collect();
+    let drained: Vec<ListEntry> =
+        entries().into_iter().map(|e| ListEntry { listed: ListedState::Draining, ..e }).collect();
     stage.list(ListKind::Delta, &drained);
-    let mut actions = stage.ended(id, member, Outcome::Full, Note::default());
+    let mut actions = stage.ended(id, member, Outcome::Rejected, ReplyStatus::default());
     assert_eq!(sent(&actions, id), None);
     actions.extend(stage.pass(1_500 * MS));
     assert!(refused(&actions, id));
@@ -222,8 +222,8 @@
     let mut stage = Stage::new();
     let (id, _) = stage.ask(WRITE);
     stage.now += 2 * BOUND;
-    let behind = Note { position: Some(START), role: Some(Role::Replica) };
-    stage.ended(id, 1, Outcome::Misplaced, behind);
+    let behind = ReplyStatus { position: Some(START), role: Some(Role::Replica) };
+    stage.ended(id, 1, Outcome::Misdirected, behind);
     let (id, _) = stage.ask(READ);
     let actions = stage.pass(100 * MS);
     assert_eq!(sent(&actions, id), None);
@@ -234,7 +234,7 @@
     let mut stage = Stage::new();
     let (id, _) = stage.ask(WRITE);
     stage.now += 20 * MS;
-    stage.ended(id, 1, Outcome::Misplaced, stage.note(Role::Replica));
+    stage.ended(id, 1, Outcome::Misdirected, stage.note(Role::Replica));
     stage.probed(3, stage.now, true);
     stage.list(ListKind::Full, &entries());
     let (id, actions) = stage.ask(WRITE);
@@ -247,7 +247,7 @@
     let spoke = stage.now;
     let (id, _) = stage.ask(WRITE);
     stage.now += 20 * MS;
-    stage.ended(id, 1, Outcome::Misplaced, stage.note(Role::Replica));
+    stage.ended(id, 1, Outcome::Misdirected, stage.note(Role::Replica));
     stage.probed(1, spoke, true);
     let (id, actions) = stage.ask(WRITE);
     assert_eq!(sent(&actions, id), None);
@@ -287,8 +287,8 @@
     let mut settings = settings();
     settings.rules.only_draining_binds = true;
     let mut stage = Stage::with(settings, &entries());
-    stage.list(ListKind::Delta, &[Entry { listed: Listed::Draining, ..entry(2, 0, false) }]);
-    stage.list(ListKind::Delta, &[Entry { listed: Listed::Gone, ..entry(2, 0, false) }]);
+    stage.list(ListKind::Delta, &[ListEntry { listed: ListedState::Draining, ..entry(2, 0, false) }]);
+    stage.list(ListKind::Delta, &[ListEntry { listed: ListedState::Gone, ..entry(2, 0, false) }]);
     let (id, actions) = stage.ask(READ);
     assert_eq!(sent(&actions, id), Some(3));
 }
@@ -315,9 +315,9 @@
     let (id, actions) = stage.ask(READ);
     assert_eq!(sent(&actions, id), Some(2));
     assert!(stage.router.confirm(stage.now, id, MemberId(2)));
-    stage.list(ListKind::Delta, &[Entry { listed: Listed::Draining, ..entry(2, 0, false) }]);
+    stage.list(ListKind::Delta, &[ListEntry { listed: ListedState::Draining, ..entry(2, 0, false) }]);
     assert!(!stage.router.confirm(stage.now, id, MemberId(2)));
-    let actions = stage.ended(id, 2, Outcome::Moot, Note::default());
+    let actions = stage.ended(id, 2, Outcome::NeverSent, ReplyStatus::default());
     assert_eq!(sent(&actions, id), Some(3), "it goes elsewhere instead");
 }
 
@@ -349,7 +349,7 @@
     assert!(!stage.router.confirm(stage.now + 300 * MS, id, MemberId(1)));
     let (id, _) = stage.ask(WRITE);
     assert!(stage.router.confirm(stage.now, id, MemberId(1)));
-    stage.event(Event::HungUp(id));
+    stage.event(Event::ClientDisconnected(id));
     assert!(!stage.router.confirm(stage.now, id, MemberId(1)));
 }
 
@@ -360,7 +360,7 @@
     let (id, actions) = stage.ask_with(WRITE, 8_000 * MS, |_| {});
     assert_eq!(sent(&actions, id), Some(1));
     stage.now += WINDOW - 100 * MS;
-    let actions = stage.ended(id, 1, Outcome::Reset, Note::default());
+    let actions = stage.ended(id, 1, Outcome::Reset, ReplyStatus::default());
     assert_eq!(sent(&actions, id), Some(1), "a repeat inside the window");
     stage.now += 99 * MS;
     assert!(stage.router.confirm(stage.now, id, MemberId(1)));
@@ -386,7 +386,7 @@
     let (id, actions) = stage.ask_with(WRITE, 2_000 * MS, |_| {});
     assert_eq!(sent(&actions, id), Some(1));
     stage.now += 10 * MS;
-    stage.ended(id, 1, Outcome::Misplaced, stage.note(Role::Replica));
+    stage.ended(id, 1, Outcome::Misdirected, stage.note(Role::Replica));
     let answered = |actions: &[Action]| refused(actions, id) || failed(actions, id);
     assert!(!answered(&stage.pass(1_500 * MS)));
     assert!(answered(&stage.pass(500 * MS)));
@@ -412,7 +412,7 @@
     let mut list = entries();
     list[0].started = Some(START);
     let mut settings = settings();
-    settings.classes[WRITE].aim = 300 * MS;
+    settings.classes[WRITE].latency_target = 300 * MS;
     let mut stage = Stage::with(settings.clone(), &list);
     stage.took = 20 * MS;
     for _ in 0..20 {
--- a/tests/troubles.rs
+++ b/tests/troubles.rs
@@ -23,7 +23,7 @@
     let mut settings = settings();
     settings.limits.peer_messages = true;
     let mut stage = Stage::with(settings, &list);
-    let told = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::TellPeers(_)));
+    let told = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::SendPeerUpdates(_)));
     assert!(told(&stage.pass(10 * MS)), "what it heard from its probes");
     stage.pass(2_000 * MS);
     let word = |position| MemberUpdate { member: MemberId(2), position, role: Some(Role::Replica) };
@@ -60,10 +60,10 @@
             Some(2) => {
                 tests.push(stage.now);
                 stage.took = 600 * MS;
-                stage.ended(id, 2, Outcome::TimedOut, Note::default());
+                stage.ended(id, 2, Outcome::TimedOut, ReplyStatus::default());
                 stage.took = 50 * MS;
             }
-            Some(member) => drop(stage.ended(id, member, Outcome::Served, Note::default())),
+            Some(member) => drop(stage.ended(id, member, Outcome::Served, ReplyStatus::default())),
             None => {}
         }
         stage.pass(0);
@@ -79,7 +79,7 @@
     let (id, actions) = stage.ask(ANY);
     assert_eq!(sent(&actions, id), Some(2));
     stage.took = 20 * MS;
-    stage.ended(id, 2, Outcome::TimedOut, Note::default());
+    stage.ended(id, 2, Outcome::TimedOut, ReplyStatus::default());
     stage.pass(100 * MS);
     let (id, actions) = stage.ask(ANY);
     assert_eq!(sent(&actions, id), Some(2));
@@ -94,8 +94,8 @@
     assert_eq!(sent(&actions, second), Some(2));
     stage.took = 600 * MS;
     stage.now += stage.took;
-    stage.ended(first, 2, Outcome::TimedOut, Note::default());
-    stage.ended(second, 2, Outcome::Full, Note::default());
+    stage.ended(first, 2, Outcome::TimedOut, ReplyStatus::default());
+    stage.ended(second, 2, Outcome::Rejected, ReplyStatus::default());
     let to_two = (0..20).filter(|_| {
         let (id, actions) = stage.ask(ANY);
         sent(&actions, id) == Some(2)
@@ -117,12 +117,12 @@
         let late = sent(&actions, id).unwrap();
         stage.now += 2_000 * MS;
         stage.took = 1_500 * MS;
-        stage.ended(id, late, Outcome::Served, Note::default());
+        stage.ended(id, late, Outcome::Served, ReplyStatus::default());
         let (id, actions) = stage.ask(ANY);
         let other = sent(&actions, id).unwrap();
         assert_ne!(late, other);
         stage.took = 50 * MS;
-        stage.ended(id, other, Outcome::Served, Note::default());
+        stage.ended(id, other, Outcome::Served, ReplyStatus::default());
         stage.now += MS;
         let (id, actions) = stage.ask(ANY);
         to_two += i32::from(sent(&actions, id) == Some(late));
@@ -136,7 +136,7 @@
     let (id, _) = stage.ask(WRITE);
     stage.now += 2_000 * MS;
     stage.probed(1, stage.now, true);
-    stage.ended(id, 1, Outcome::TimedOut, Note::default());
+    stage.ended(id, 1, Outcome::TimedOut, ReplyStatus::default());
     let mut probed = 0;
     for _ in 0..50 {
         stage.ask(ANY);
@@ -186,16 +186,16 @@
     let serve = |stage: &mut Stage| {
         let (id, actions) = stage.ask(ANY);
         let member = sent(&actions, id).unwrap();
-        stage.ended(id, member, Outcome::Served, Note::default())
+        stage.ended(id, member, Outcome::Served, ReplyStatus::default())
     };
     assert!(!closes(&serve(&mut stage)));
     let (id, actions) = stage.ask(ANY);
     let member = sent(&actions, id).unwrap();
     stage.took = 5 * MS;
-    let actions = stage.ended(id, member, Outcome::Unreachable, Note::default());
+    let actions = stage.ended(id, member, Outcome::Unreachable, ReplyStatus::default());
     let other = sent(&actions, id).unwrap();
     assert_ne!(other, member);
-    assert!(closes(&stage.ended(id, other, Outcome::Served, Note::default())));
+    assert!(closes(&stage.ended(id, other, Outcome::Served, ReplyStatus::default())));
     (0..100).for_each(|_| drop(serve(&mut stage)));
     assert!(!closes(&serve(&mut stage)), "connects go through again");
 }
@@ -210,10 +210,10 @@
         let (id, actions) = stage.ask(ANY);
         let member = sent(&actions, id).unwrap();
         stage.took = 250 * MS;
-        let actions = stage.ended(id, member, Outcome::Unreachable, Note::default());
+        let actions = stage.ended(id, member, Outcome::Unreachable, ReplyStatus::default());
         let other = sent(&actions, id).unwrap();
         stage.took = 50 * MS;
-        let actions = stage.ended(id, other, Outcome::Served, Note::default());
+        let actions = stage.ended(id, other, Outcome::Served, ReplyStatus::default());
         assert!(!actions.iter().any(|a| matches!(a, Action::CloseIdle(_))));
     }
 }
@@ -221,7 +221,7 @@
 /// What fails everywhere tells of the request: the attempts that it may still have belong to others.
 #[test]
 fn a_request_that_two_members_answer_with_an_error_is_given_up_at_once() {
-    let list: Vec<Entry> = (1..=6).map(|member| entry(member, 0, member == 1)).collect();
+    let list: Vec<ListEntry> = (1..=6).map(|member| entry(member, 0, member == 1)).collect();
     let mut stage = Stage::with(settings(), &list);
     let (id, actions) = stage.ask(READ);
     let first = sent(&actions, id).unwrap();
@@ -252,13 +252,13 @@
     for _ in 0..3 {
         let (id, actions) = stage.ask(ANY);
         assert_eq!(sent(&actions, id), Some(2));
-        stage.ended(id, 2, Outcome::Unreachable, Note::default());
+        stage.ended(id, 2, Outcome::Unreachable, ReplyStatus::default());
         stage.probed(2, stage.now, false);
     }
     for _ in 0..20 {
         let (id, actions) = stage.ask(ANY);
         assert_eq!(sent(&actions, id), Some(2));
-        stage.ended(id, 2, Outcome::Served, Note::default());
+        stage.ended(id, 2, Outcome::Served, ReplyStatus::default());
     }
 }
 
@@ -286,7 +286,7 @@
             let (id, actions) = stage.ask(READ);
             let member = sent(&actions, id).unwrap();
             stage.now += 10 * MS;
-            stage.ended(id, member, Outcome::Served, Note::default());
+            stage.ended(id, member, Outcome::Served, ReplyStatus::default());
         }
     }
     stage.list(ListKind::Full, &[entry(2, 0, false)]);
@@ -302,11 +302,11 @@
     let mut late_sends = 0;
     for seed in 1..=100 {
         let mut settings = settings();
-        settings.classes[ANY].late_worth = 0.2;
+        settings.classes[ANY].late_value_share = 0.2;
         let (mut stage, _) = Stage::seeded(seed * 7919, settings, &[entry(2, 0, false)]);
         stage.now += 5 * MS;
         stage.probed(2, stage.now - MS, false);
-        stage.list(ListKind::Delta, &[Entry { listed: Listed::Draining, ..entry(2, 0, false) }]);
+        stage.list(ListKind::Delta, &[ListEntry { listed: ListedState::Draining, ..entry(2, 0, false) }]);
         let (id, _) = stage.ask(ANY);
         stage.pass(450 * MS);
         let actions = stage.list(ListKind::Delta, &[entry(2, 0, false)]);
@@ -344,7 +344,7 @@
         let (id, actions) = stage.ask(ANY);
         let member = sent(&actions, id).unwrap();
         to_two += i32::from(member == 2);
-        stage.ended(id, member, Outcome::Served, Note::default());
+        stage.ended(id, member, Outcome::Served, ReplyStatus::default());
     }
     assert!(to_two > 0 && to_two < 20, "it may have restarted unseen, but got {to_two}");
 }
@@ -357,7 +357,7 @@
         for seed in 1..=100 {
             let mut settings = settings();
             settings.routers = 200;
-            settings.classes[WRITE].worth = 16.0;
+            settings.classes[WRITE].value = 16.0;
             let (mut stage, _) = Stage::seeded(seed * 7919, settings, &[entry(1, 0, true)]);
             stage.now += 5 * MS;
             stage.probed(1, stage.now - MS, true);
@@ -381,14 +381,14 @@
     let mut stage = Stage::new();
     let (id, actions) = stage.ask(ANY);
     assert_eq!(sent(&actions, id), Some(2));
-    let actions = stage.ended(id, 2, Outcome::Reset, Note::default());
+    let actions = stage.ended(id, 2, Outcome::Reset, ReplyStatus::default());
     assert_eq!(sent(&actions, id), Some(3), "another zone's replica takes over");
-    stage.ended(id, 3, Outcome::Served, Note::default());
+    stage.ended(id, 3, Outcome::Served, ReplyStatus::default());
     let mut probed = 0;
     for _ in 0..25 {
         let (id, actions) = stage.ask(ANY);
         assert_eq!(sent(&actions, id), Some(3));
-        stage.ended(id, 3, Outcome::Served, Note::default());
+        stage.ended(id, 3, Outcome::Served, ReplyStatus::default());
         probed += probes(&stage.pass(100 * MS), 2);
     }
     assert_eq!(probed, 1, "asked whether it is there, but not by the clock");
@@ -433,7 +433,7 @@
     stage.pass(1_000 * MS);
     let (id, actions) = stage.ask(ANY);
     assert_eq!(sent(&actions, id), Some(1), "two overdue, and no answer since");
-    stage.ended(second, 2, Outcome::Served, Note::default());
+    stage.ended(second, 2, Outcome::Served, ReplyStatus::default());
     let (id, actions) = stage.ask(ANY);
     assert_eq!(sent(&actions, id), Some(2), "it answers");
 }
@@ -446,7 +446,7 @@
     let lost: Vec<_> = (0..2).map(|_| stage.ask(WRITE).0).collect();
     stage.pass(1_500 * MS);
     stage.took = 1_500 * MS;
-    lost.into_iter().for_each(|id| drop(stage.ended(id, 1, Outcome::TimedOut, Note::default())));
+    lost.into_iter().for_each(|id| drop(stage.ended(id, 1, Outcome::TimedOut, ReplyStatus::default())));
     let (id, mut actions) = stage.ask(WRITE);
     actions.extend(stage.pass(320 * MS));
     assert_eq!(sent(&actions, id), Some(1));
@@ -481,17 +481,17 @@
         let mut other = stage.ask(ANY);
         while sent(&other.1, other.0) != Some(member) {
             let elsewhere = sent(&other.1, other.0).unwrap();
-            stage.ended(other.0, elsewhere, Outcome::Served, Note::default());
+            stage.ended(other.0, elsewhere, Outcome::Served, ReplyStatus::default());
             other = stage.ask(ANY);
         }
-        stage.ended(other.0, member, Outcome::Served, Note::default());
-        stage.ended(lost, member, Outcome::TimedOut, Note::default());
-        stage.event(Event::HungUp(lost));
+        stage.ended(other.0, member, Outcome::Served, ReplyStatus::default());
+        stage.ended(lost, member, Outcome::TimedOut, ReplyStatus::default());
+        stage.event(Event::ClientDisconnected(lost));
     }
     let (id, actions) = stage.ask(WRITE);
     let first = wait(&actions, id);
     assert!(first > 0 && first < 600 * MS, "{first}: a repeat can be within the aim");
-    let actions = stage.ended(id, 1, Outcome::TimedOut, Note::default());
+    let actions = stage.ended(id, 1, Outcome::TimedOut, ReplyStatus::default());
     assert_eq!(wait(&actions, id), 2 * first, "one that is only slow gets longer");
     let (id, actions) = stage.ask(UNSAFE);
     assert_eq!(wait(&actions, id), 0, "never repeated, so waited for");
@@ -508,11 +508,11 @@
     let actions = stage.pass(1_100 * MS);
     assert!(!forgets(&actions, member), "an attempt is out there");
     assert!(forgets(&actions, 5 - member) && !forgets(&actions, 1));
-    stage.ended(id, member, Outcome::Served, Note::default());
+    stage.ended(id, member, Outcome::Served, ReplyStatus::default());
     assert!(forgets(&stage.pass(1_100 * MS), member));
     // One that comes back is used again, as a new one.
     let mut again = entry(member, 0, false);
-    again.listed = Listed::Ready;
+    again.listed = ListedState::Ready;
     stage.list(ListKind::Delta, &[again]);
     stage.probed(member, stage.now, false);
     let (id, actions) = stage.ask(READ);
@@ -527,7 +527,7 @@
     let mut stage = Stage::with(settings, &entries());
     let (id, actions) = stage.ask(ANY);
     let member = sent(&actions, id).unwrap();
-    stage.ended(id, member, Outcome::Served, Note::default());
+    stage.ended(id, member, Outcome::Served, ReplyStatus::default());
     stage.list(ListKind::Full, &[entry(1, 0, true)]);
     assert!(!stage.pass(1_100 * MS).contains(&Action::Forget(MemberId(member))));
     assert!(stage.pass(60_000 * MS).contains(&Action::Forget(MemberId(member))));
