--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,9 +1,10 @@
-//! The decision module's interface: settings at start, events in, actions out. No decision is made here.
+//! The interface of the decision module: the settings it starts with, the events it receives and the actions it
+//! returns. This file defines types only; every decision is made in [`crate::policy`].
 //!
-//! All times are microseconds on the caller's clock. A position is such a time too: up to it, a member has
-//! applied every commit.
+//! All times are microseconds on the caller's clock. A replication position is such a time too: the member has
+//! applied every commit up to it.
 
-/// Microseconds, as a point on the caller's clock or as a length.
+/// Microseconds: either a point in time on the caller's clock or a duration.
 pub type Micros = u64;
 
 macro_rules! id {
@@ -15,362 +16,370 @@
 }
 
 id!(
-    /// A server of the store.
+    /// Identifies a member, that is, a server of the store.
     MemberId(u32)
 );
 id!(
-    /// A primary with its replicas.
+    /// Identifies a group, that is, a primary with its replicas.
     GroupId(u32)
 );
 id!(
-    /// A data centre.
+    /// Identifies a zone, that is, a data centre.
     ZoneId(u16)
 );
 id!(
-    /// One try of a client, as it reached this router.
+    /// Identifies one try of a client, as received by this router. A client's repeat gets a new id.
     RequestId(u64)
 );
 id!(
-    /// A client's session.
+    /// Identifies a client session.
     SessionId(u64)
 );
 
-/// How fresh the data of a class must be.
+/// The consistency that a request class requires of the data it is served from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Consistency {
-    /// Only the primary takes it.
+    /// A write; only the primary can execute it.
     Write,
-    /// All that was committed before the request came.
+    /// A read that must see everything committed before the request arrived.
     Fresh,
-    /// All that its session has written.
+    /// A read that must see everything its own session has written.
     Session,
-    /// No older than the bound when it is sent.
+    /// A read whose data may be no older than this bound, in microseconds, when the request is sent to a member.
     Bounded(Micros),
-    /// Whatever the member has.
+    /// A read that accepts data of any age.
     Any,
 }
 
 impl Consistency {
-    /// Whether only a primary can serve it.
+    /// Returns whether only a primary can serve requests of this consistency.
     pub fn needs_primary(self) -> bool {
         matches!(self, Consistency::Write | Consistency::Fresh)
     }
 }
 
-/// Where a keyed request's repeats are dropped.
+/// Which members recognise and drop a repeat of a request that carries an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
-    /// By every member.
+    /// Every member.
     All,
-    /// By the members in the zone of the one that ran it.
+    /// The members in the zone of the member that executed the request.
     Zone,
-    /// By the members of its group.
+    /// The members of the request's group.
     Group,
 }
 
-/// What a repeat of a request may do.
+/// The effect of executing a request more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Safe to repeat.
+    /// The request can be repeated without harm.
     Safe,
-    /// Repeats are dropped within a scope, for a time from the first send that may have run.
+    /// The request carries an idempotency key: members within the scope drop repeats for this many microseconds,
+    /// counted from the first send that may have been executed.
     Keyed(DedupScope, Micros),
-    /// Never to be repeated once it may have run.
+    /// The request must not be repeated once it may have been executed.
     Unsafe,
 }
 
-/// A class of requests.
+/// A class of requests that share consistency, effect, latency target and value.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// How fresh its data must be.
+    /// The consistency that its requests require.
     pub consistency: Consistency,
-    /// What a repeat may do.
+    /// The effect of executing one of its requests more than once.
     pub effect: Effect,
-    /// Answered within this it earns its full worth.
+    /// Latency target: a request answered within this time earns its full value.
     pub latency_target: Micros,
-    /// A client waits this long over all its tries.
+    /// How long a client waits for an answer, over all its tries.
     pub deadline: Micros,
-    /// Worth of an answer in time.
+    /// Value of an answer within the latency target, relative to the other classes.
     pub value: f64,
-    /// Share of the worth that a late answer earns.
+    /// Fraction of `value` that an answer after the latency target still earns.
     pub late_value_share: f64,
 }
 
-/// How membership lists come.
+/// How the membership list reaches the router.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// Unasked.
+    /// The list is pushed without a request.
     #[default]
     Pushed,
-    /// To those who ask.
+    /// The list is sent only to routers that subscribe.
     OnRequest,
 }
 
-/// Who knows what a session has written.
+/// Who tracks the last write of a session.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum SessionTracking {
-    /// The client says so with each read.
+    /// The client states it with each read.
     #[default]
     Client,
-    /// This router remembers the writes whose answers it saw.
+    /// This router remembers the commits of writes whose answers it saw.
     Router,
 }
 
-/// Who sees to it that a member does not answer a read from data that is too old for it.
+/// Who ensures that a member does not answer a read from data that is too old for it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LagCheck {
-    /// The router alone, by what it knows of positions.
+    /// The router alone, from the replication positions that it knows.
     #[default]
     Router,
-    /// The member too: it turns such a read away untouched.
+    /// The member as well: it rejects such a read without executing it.
     Member,
 }
 
-/// What the site permits.
+/// Limits and optional features of the site.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Limits {
-    /// Attempts for each request.
+    /// Maximum number of attempts for each request.
     pub max_attempts: u32,
-    /// A connection that is not up by then never comes up; 0: not told.
+    /// Time after which a connection that is not yet established never will be; 0 if unknown.
     pub connect_timeout: Micros,
-    /// Longest wait that a client heeds.
+    /// Longest retry delay that clients honour.
     pub max_retry_after: Micros,
-    /// Whether advice on when to come back reaches clients.
+    /// Whether a retry delay sent with a refusal reaches clients.
     pub retry_after: bool,
-    /// Whether members may be probed.
+    /// Whether the router may probe members.
     pub probes: bool,
-    /// Whether routers may send each other messages, which may be late or lost.
+    /// Whether routers may send messages to each other. Such messages can be delayed or lost.
     pub peer_messages: bool,
 }
 
-/// The figures of the rules.
+/// Parameters of the rules that every router must keep.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RuleParameters {
-    /// Unsubscribed and silent for this long, a router counts as told of all that was listed.
+    /// A router that is not subscribed and has not asked for the list for this long is treated as if it had been
+    /// told everything that was listed, so it has to resubscribe within this time.
     pub resubscribe_within: Micros,
-    /// Only an entry that says draining binds; a missing or gone one does not.
+    /// Whether only an entry in state `Draining` forbids new requests; if so, a missing or gone entry does not.
     pub only_draining_binds: bool,
-    /// Least share of its capacity with which a member starts.
+    /// Lowest fraction of its full capacity that a member can have right after its start.
     pub cold_share: f64,
-    /// It is warm after this.
+    /// Time from its start after which a member has its full capacity.
     pub warm_up_time: Micros,
-    /// Over this multiple of its present capacity...
+    /// A member that is still warming up fails under load above this multiple of its present capacity, if that load
+    /// lasts for `overload_window`.
     pub overload_multiple: f64,
-    /// ...for this long, a cold member falls over.
+    /// How long load has to exceed `overload_multiple` for a member that is still warming up to fail.
     pub overload_window: Micros,
 }
 
-/// All that a router is told at start.
+/// The configuration that a router receives at start.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
-    /// The zone in which this router runs.
+    /// Zone in which this router runs.
     pub zone: ZoneId,
-    /// How many routers serve this store; what one may have open, all may have at once.
+    /// Number of routers that serve this store. All of them may have their maximum of open attempts at once.
     pub routers: u32,
-    /// Least time between two rounds of events.
+    /// Minimum time between two rounds of events.
     pub step: Micros,
-    /// Request classes, by index.
+    /// Request classes; requests refer to them by index.
     pub classes: Vec<Class>,
-    /// How lists come.
+    /// How the membership list reaches this router.
     pub discovery: DiscoveryMode,
-    /// Who knows what a session has written.
+    /// Who tracks the last write of a session.
     pub session_tracking: SessionTracking,
-    /// Who checks a member's lag.
+    /// Who prevents reads from members that lag too far behind.
     pub lag_check: LagCheck,
-    /// What the site permits.
+    /// Limits and optional features of the site.
     pub limits: Limits,
-    /// The figures of the rules.
+    /// Parameters of the rules that every router must keep.
     pub rules: RuleParameters,
 }
 
-/// A member's part in its group.
+/// The role of a member in its group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Takes the writes.
+    /// Executes the writes of the group.
     Primary,
-    /// Follows the primary.
+    /// Replicates the primary.
     Replica,
 }
 
-/// What the list says of a member's state.
+/// The state of a member according to the membership list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListedState {
-    /// In service.
+    /// The member is in service.
     Ready,
-    /// Finishing its work; nothing new may go there.
+    /// The member is finishing its open work; no new request may be sent to it.
     Draining,
-    /// Removed.
+    /// The member has been removed.
     Gone,
 }
 
-/// A member as the list shows it.
+/// A member's entry in the membership list.
 #[derive(Clone, Debug)]
 pub struct ListEntry {
-    /// Which member.
+    /// The member that the entry describes.
     pub member: MemberId,
-    /// Its group.
+    /// Group that the member belongs to.
     pub group: GroupId,
-    /// Its zone.
+    /// Zone in which the member runs.
     pub zone: ZoneId,
-    /// Its state.
+    /// Whether the member is in service.
     pub listed: ListedState,
-    /// When it last started, if that is not long ago.
+    /// When the member last started; `None` if that was long ago.
     pub started: Option<Micros>,
-    /// Whether the list holds it to be the primary.
+    /// Whether the list names the member as primary of its group.
     pub primary: bool,
 }
 
-/// What a list event brings.
+/// The content of a membership list event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// Changed entries only.
+    /// Only the entries that changed.
     Delta,
-    /// All entries.
+    /// All entries of the list.
     Full,
-    /// All entries as last held before a restart.
+    /// All entries as the router last knew them before it restarted.
     Cached,
-    /// Nothing: a call failed or a subscription broke.
+    /// No entries: a call to discovery failed or the subscription ended.
     Failed,
 }
 
-/// What a member says of itself; late, and only what its site offers.
+/// A member's report on itself. It arrives with a delay and holds only the fields that the site provides.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Report {
-    /// Position, rounded down.
+    /// Replication position, rounded down.
     pub position: Option<Micros>,
-    /// Its role.
+    /// Role in the group.
     pub role: Option<Role>,
-    /// Share of its cores in use.
+    /// Fraction of the member's cores in use.
     pub utilization: Option<f64>,
-    /// Requests that wait there.
+    /// Number of requests queued at the member.
     pub backlog: Option<f64>,
 }
 
-/// What an answer says of the member that gave it, exact as of the answer.
+/// What an answer states about the member that gave it, exact as of the time of the answer.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ReplyStatus {
-    /// Its position; for a write that went through, the commit.
+    /// Replication position of the member; for a successful write, the position of its commit.
     pub position: Option<Micros>,
-    /// Its role.
+    /// Role of the member in its group.
     pub role: Option<Role>,
 }
 
-/// What routers tell each other of a member.
+/// What routers tell each other about a member.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberUpdate {
-    /// Which member.
+    /// The member that the update describes.
     pub member: MemberId,
-    /// Position that it had reached.
+    /// Replication position that the member had reached.
     pub position: Micros,
-    /// The role that it named.
+    /// Role that the member stated.
     pub role: Option<Role>,
 }
 
-/// What planners say of a zone. It only narrows what a router may do: no word makes a member eligible.
+/// Advice of the zone planner on one zone. Advice only restricts what a router may do; it never makes a member
+/// eligible.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ZoneAdvice {
-    /// Which zone.
+    /// The zone that the advice applies to.
     pub zone: ZoneId,
-    /// Place in this router's order of preference, 0 first. Without any word it is 0 for its own zone, 1 for others.
+    /// Rank in this router's order of preference, 0 first. Without advice it is 0 for the router's own zone and 1
+    /// for all others.
     pub tier: u16,
-    /// Its members fail together: all of them count as possibly dead.
+    /// Whether the zone is suspected to have failed as a whole: all its members then count as possibly dead.
     pub suspected: bool,
-    /// Share of reads that may go there, by a lot that each request draws once.
+    /// Fraction of reads that may be sent to the zone. Each request draws a random number once and compares it with
+    /// this fraction.
     pub read_share: f64,
-    /// What it may be sent beyond the work that is at home there; none: no limit.
+    /// Limit on the reads sent to this zone although their home tier is a preferred one; `None` means no limit.
     pub spill: Option<SpillLimit>,
 }
 
-/// What a zone may be sent of reads that are at home in zones preferred to it.
+/// Limit on the reads that may spill into a zone, that is, reads whose home tier is preferred to the zone's tier.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SpillLimit {
-    /// Work that may still go there until the next word, in microseconds.
+    /// Work that may still be sent to the zone until the next advice, in microseconds of service time.
     pub credit: f64,
-    /// Share of such reads that may go there, by class.
+    /// Fraction of spilling reads that may be sent to the zone, by class index.
     pub shares: Vec<f64>,
 }
 
-/// What planners tell a router: words on zones replace earlier ones on the same, homes too.
+/// Advice of the zone planner to a router. It replaces earlier advice on the same zones and groups.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Advice {
-    /// Zones.
+    /// Advice on single zones.
     pub zones: Vec<ZoneAdvice>,
-    /// The tier in which a group's reads are at home: the best in which it usually has members.
+    /// Home tier of each group's reads: the most preferred tier in which the group usually has members.
     pub homes: Vec<(GroupId, u16)>,
 }
 
-/// What planners of routers tell each other of the limits that they share.
+/// A message between the zone planners of different routers by which they lend each other parts of a shared spill
+/// limit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SpillLoan {
-    /// Whose limit.
+    /// Zone whose spill limit is lent.
     pub zone: ZoneId,
-    /// The router that this is lent to, by its number; none: this router asks for it.
+    /// Number of the router that the loan goes to; `None` if the sender asks for a loan.
     pub to: Option<u32>,
-    /// Work in any second, in microseconds.
+    /// Work that is lent or asked for, in microseconds of service time per second.
     pub work: f64,
-    /// Until then.
+    /// When the loan ends.
     pub until: Micros,
 }
 
-/// How an attempt or a probe ended.
+/// The outcome of an attempt or a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The member served the request.
     Served,
-    /// The member answered with an error; may have run.
+    /// The member answered with an error. The request may have been executed.
     Error,
-    /// Turned away unseen: full or draining. Never ran.
+    /// The member rejected the request unread because it is full or draining. The request was not executed.
     Rejected,
-    /// No answer in time; may have run.
+    /// No answer came in time. The request may have been executed.
     TimedOut,
-    /// No connection. Never ran.
+    /// No connection could be established. The request was not executed.
     Unreachable,
-    /// The connection broke; may have run.
+    /// The connection broke. The request may have been executed.
     Reset,
-    /// Cancelled; may have run.
+    /// The attempt was cancelled. The request may have been executed.
     Cancelled,
-    /// Never sent.
+    /// The request was never sent, hence not executed.
     NeverSent,
-    /// Turned away untouched: not the primary, or lagging too far. Never ran.
+    /// The member rejected the request because it is not the primary or lags too far behind. The request was not
+    /// executed.
     Misdirected,
 }
 
 impl Outcome {
-    /// Whether this outcome proves that the attempt never ran.
+    /// Returns whether this outcome proves that the request was not executed.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Rejected | Outcome::Unreachable | Outcome::NeverSent | Outcome::Misdirected)
     }
 }
 
-/// A client's request.
+/// A client's request, as received by this router.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its id.
+    /// Id of the request, unique within this router.
     pub id: RequestId,
-    /// Index of its class.
+    /// Index of the request's class in the settings.
     pub class: usize,
-    /// The group it names.
+    /// Group that holds the requested data.
     pub group: GroupId,
-    /// Its session, if it has one.
+    /// Session that the request belongs to, if any.
     pub session: Option<SessionId>,
-    /// Time until the client gives this try up.
+    /// Time until the client gives up this try.
     pub budget: Micros,
-    /// Whether the client says that it asked before.
+    /// Whether the client marks the request as a repeat of an earlier one.
     pub repeat: bool,
-    /// How long before its arrival the session's last write was committed, where the client tells.
+    /// How long before the request's arrival the session's last write was committed, if the client states it.
     pub last_write_ago: Option<Micros>,
 }
 
-/// How a request's route narrows what a router may do for it. The default narrows nothing.
+/// Limits that a request's route sets for this request. The default sets no limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RouteLimits {
-    /// Attempts.
+    /// Maximum number of attempts.
     pub attempts: u32,
-    /// Time for an attempt; 0: what is left.
+    /// Timeout of a single attempt; 0 for the time that the request has left.
     pub attempt: Micros,
-    /// Oldest data of a bounded read, where its class allows older.
+    /// Maximum age of the data of a bounded read, where its class allows older data.
     pub staleness: Micros,
-    /// Zones whose members its reads may use, a bit for each.
+    /// Zones whose members the request's reads may use, one bit per zone.
     pub zones: u64,
 }
 
@@ -380,95 +389,96 @@
     }
 }
 
-/// The end of an attempt.
+/// The result of an attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptResult {
-    /// Its request.
+    /// Request that the attempt belongs to.
     pub request: RequestId,
-    /// Where it was sent.
+    /// Member that the attempt was sent to.
     pub member: MemberId,
-    /// How it ended.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
-    /// What the answer said of the member.
+    /// Status of the member as stated in the answer.
     pub note: ReplyStatus,
-    /// Time since the send.
+    /// Time from sending the attempt to its end.
     pub took: Micros,
-    /// Whether the request has its final answer.
+    /// Whether the request has received its final answer.
     pub finished: bool,
-    /// A load report that came along.
+    /// Report of the member that came with the answer.
     pub report: Report,
 }
 
-/// What reaches a router.
+/// An event that the decision module handles.
 #[derive(Clone, Debug)]
 pub enum Event<'a> {
-    /// The list, or news of it.
+    /// Entries of the membership list, or a failure to get them.
     List(ListKind, &'a [ListEntry]),
-    /// A request.
+    /// A request arrived.
     Request(Request),
-    /// A request that its route narrows.
+    /// A request arrived whose route sets limits for it.
     RequestWithLimits(Request, RouteLimits),
-    /// What is to be heeded at the end of an open request's attempt, told right before that: no further one before
-    /// this time, or none at all.
+    /// A constraint on the next attempt of an open request: not before this time, or, if `None`, no further attempt.
+    /// It is sent immediately before the [`Event::AttemptEnded`] that it applies to.
     RetryNotBefore(RequestId, Option<Micros>),
-    /// The end of an attempt.
+    /// An attempt ended.
     AttemptEnded(AttemptResult),
-    /// The end of a probe.
+    /// A probe ended.
     ProbeEnded {
-        /// Which member.
+        /// Member that was probed.
         member: MemberId,
-        /// How it ended.
+        /// Outcome of the probe.
         outcome: Outcome,
-        /// The member's report.
+        /// Report of the member.
         report: Report,
     },
-    /// What another router heard from members.
+    /// Another router sent what it learned from members.
     PeerUpdates(Vec<MemberUpdate>),
-    /// What planners say of zones.
+    /// The zone planner sent new advice.
     Advice(&'a Advice),
-    /// What the planner of another router, by its number, tells those here.
+    /// The zone planner of another router, given by its number, sent spill loans or requests for them.
     SpillLoans(u32, Vec<SpillLoan>),
-    /// The client is gone; nothing is owed any more.
+    /// The client disconnected; the request needs no answer any more.
     ClientDisconnected(RequestId),
-    /// The timer that the router set is due.
+    /// The timer set by [`Action::SetTimer`] expired.
     Timer,
 }
 
-/// What a router wants done.
+/// An action that the decision module asks its caller to perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a request to a member.
     Send {
-        /// Which request.
+        /// Request to send.
         request: RequestId,
-        /// Where to.
+        /// Member to send it to.
         member: MemberId,
-        /// How long the attempt may last (0: until the client gives up).
+        /// Timeout of the attempt; 0 to wait until the client gives up.
         wait: Micros,
     },
-    /// Final answer: refused; trying again is harmless, best after the pause (0: no advice).
+    /// Answer a request finally as refused, which promises the client that a repeat is harmless.
     Refuse {
-        /// Which request.
+        /// Request to answer.
         request: RequestId,
-        /// When to come back.
+        /// Delay after which the client should try again; 0 for no advice.
         retry_after: Micros,
     },
-    /// Final answer: failed; nothing is promised.
+    /// Answer a request finally as failed, without a promise about repeats.
     Fail(RequestId),
-    /// Close this router's connections to a member that carry nothing.
+    /// Close this router's idle connections to a member.
     CloseIdle(MemberId),
-    /// Probe a member.
+    /// Send a probe to a member.
     Probe(MemberId),
-    /// Nothing refers to a member any more: what belongs to it can go. Should it be listed again, it is a new one.
+    /// Release all resources held for a member, since the router no longer refers to it. If the member is listed
+    /// again, it counts as a new one.
     Forget(MemberId),
-    /// Tell all other routers what members said.
+    /// Send what this router learned from members to all other routers.
     SendPeerUpdates(Vec<MemberUpdate>),
-    /// Tell all other routers what planners have to say; it may be lost.
+    /// Send spill loans, or requests for them, to the zone planners of all other routers. The message can be lost.
     SpillLoans(Vec<SpillLoan>),
-    /// Wake the router after this time.
+    /// Send [`Event::Timer`] after this time.
     SetTimer(Micros),
-    /// Subscribe to the list.
+    /// Subscribe to the membership list.
     Subscribe,
-    /// A line for the log.
+    /// Write a line to the log.
     Log(String),
 }
