--- a/tests/probe_share.rs
+++ b/tests/probe_share.rs
@@ -1,4 +1,4 @@
-//! How a fleet divides its probes (`docs/design/probe-sharing.md`).
+//! Tests how a fleet divides its probes (`docs/design/probe-sharing.md`).
 
 use beaconshore::interface::{Limits, Micros, Settings};
 use beaconshore::policy::probe_share::{lagging_replica_pause, ProbeShare, PROBE_PERIOD};
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn few_routers_or_silent_ones_find_out_all_by_themselves() {
+fn small_fleets_and_fleets_without_messages_send_all_their_probes() {
     let mut random = Random::new(7);
     for probe_share in [fleet(0, true), fleet(3, true), fleet(300, false), ProbeShare::default()] {
         assert_eq!(probe_share.assigned((0..100).collect(), Some(0), 1, &mut random).len(), 100);
@@ -20,46 +20,46 @@
 }
 
 #[test]
-fn a_fleet_of_any_size_asks_as_often_as_three_routers() {
+fn a_fleet_of_any_size_probes_as_often_as_three_routers() {
     for routers in [30, 300, 1_000] {
-        let mut asked = 0;
+        let mut probed = 0;
         for seed in 0..u64::from(routers) {
             let mut random = Random::new(seed);
-            asked += fleet(routers, true).assigned((0..120).collect(), Some(1), 1, &mut random).len();
+            probed += fleet(routers, true).assigned((0..120).collect(), Some(1), 1, &mut random).len();
         }
-        // 360 on average; five standard deviations of chance.
-        assert!((265..455).contains(&asked), "{routers} routers asked {asked} times");
+        // 360 on average, plus or minus five standard deviations.
+        assert!((265..455).contains(&probed), "{routers} routers sent {probed} probes");
     }
     assert_eq!(fleet(30, true).fleet_pause(100, 10_000), 1_000);
-    assert_eq!(
-        fleet(300, true).fleet_pause(100, 1_000),
-        1_000,
-        "the longest pause bounds what silence costs"
-    );
+    assert_eq!(fleet(300, true).fleet_pause(100, 1_000), 1_000, "the pause never exceeds the longest one");
 }
 
 #[test]
-fn each_member_is_asked_for_as_often_whatever_a_router_is_asked() {
+fn the_probe_rate_of_a_member_does_not_depend_on_the_request_rate() {
     const SECOND: Micros = 1_000_000;
     for gap in [SECOND / 10, SECOND, 5 * SECOND] {
         let mut random = Random::new(7);
         let occasions = 300 * 100 * SECOND / gap;
-        let ask = |_| fleet(300, true).assigned(vec![()], Some(gap), SECOND, &mut random).len();
-        // In 100 s; five standard deviations of chance.
-        let asked: usize = (0..occasions).map(ask).sum();
-        assert!((213..=387).contains(&asked), "{asked} times with a request every {gap} us");
+        let select = |_| fleet(300, true).assigned(vec![()], Some(gap), SECOND, &mut random).len();
+        // In 100 s, plus or minus five standard deviations.
+        let probed: usize = (0..occasions).map(select).sum();
+        assert!((213..=387).contains(&probed), "{probed} probes with a request every {gap} us");
     }
     let mut random = Random::new(7);
     assert_eq!(
         fleet(300, true).assigned(vec![1, 2], None, SECOND, &mut random),
         [1, 2],
-        "a fresh router asks"
+        "a new router sends all its probes"
+    );
+    assert_eq!(
+        fleet(3, true).assigned(vec![1, 2], Some(0), SECOND, &mut random),
+        [1, 2],
+        "each router of a small fleet sends all its probes"
     );
-    assert_eq!(fleet(3, true).assigned(vec![1, 2], Some(0), SECOND, &mut random), [1, 2], "few ask for all");
 }
 
 #[test]
-fn a_replica_is_asked_more_rarely_the_further_it_lags_but_within_the_usual_period() {
+fn a_replica_is_probed_more_rarely_the_further_it_lags_within_the_usual_period() {
     assert_eq!(
         [0, 400_000, 4_000_000, 60_000_000].map(lagging_replica_pause),
         [0, 100_000, PROBE_PERIOD, PROBE_PERIOD]
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn what_a_read_cannot_do_without_is_asked_by_each() {
+fn each_router_sends_at_least_one_probe_that_a_read_depends_on() {
     assert_eq!([0, 1, 2, 4].map(|due| fleet(300, true).assigned_count(due)), [0, 1, 1, 1]);
     assert_eq!(fleet(6, true).assigned_count(4), 2);
 }
--- a/tests/rules_kept.rs
+++ b/tests/rules_kept.rs
@@ -1,4 +1,4 @@
-//! The guards: each test fails when its guard is removed.
+//! Tests of the guards that enforce the rules. Each test fails if its guard is removed.
 
 mod common;
 
@@ -6,434 +6,443 @@
 use common::*;
 
 #[test]
-fn a_held_request_is_answered_before_its_client_gives_up() {
-    let mut stage = Stage::new();
-    stage.list(ListKind::Full, &[entry(2, 0, false)]);
-    let (id, _) = stage.ask_with(WRITE, 300 * MS, |_| {});
-    let actions = stage.pass(300 * MS);
-    assert!(refused(&actions, id));
-    let later = stage.pass(1_000 * MS);
-    assert!(!refused(&later, id) && !failed(&later, id) && sent(&later, id).is_none());
+fn a_queued_request_is_answered_before_its_client_gives_up() {
+    let mut fixture = Fixture::new();
+    fixture.update_list(ListKind::Full, &[entry(2, 0, false)]);
+    let (id, _) = fixture.request_with(WRITE, 300 * MS, |_| {});
+    let actions = fixture.advance(300 * MS);
+    assert!(is_refused(&actions, id));
+    let later = fixture.advance(1_000 * MS);
+    assert!(!is_refused(&later, id) && !is_failed(&later, id) && sent_to(&later, id).is_none());
 }
 
 #[test]
-fn a_write_that_may_have_run_is_not_resent_after_the_window() {
-    let mut stage = Stage::new();
-    let (id, actions) = stage.ask_with(WRITE, 60_000 * MS, |_| {});
-    assert_eq!(sent(&actions, id), Some(1));
-    stage.now += WINDOW + MS;
-    let actions = stage.ended(id, 1, Outcome::Reset, ReplyStatus::default());
-    assert!(failed(&actions, id), "and a refusal would promise that nothing ran");
+fn a_write_that_may_have_run_is_not_resent_after_the_dedup_window() {
+    let mut fixture = Fixture::new();
+    let (id, actions) = fixture.request_with(WRITE, 60_000 * MS, |_| {});
+    assert_eq!(sent_to(&actions, id), Some(1));
+    fixture.now += WINDOW + MS;
+    let actions = fixture.end_attempt(id, 1, Outcome::Reset, ReplyStatus::default());
+    assert!(is_failed(&actions, id), "a refusal would promise that the write was not executed");
 }
 
 #[test]
-fn a_write_that_may_have_run_is_resent_within_the_window() {
-    let mut stage = Stage::new();
-    let (id, _) = stage.ask_with(WRITE, 60_000 * MS, |_| {});
-    stage.now += 100 * MS;
-    let actions = stage.ended(id, 1, Outcome::Error, stage.note(Role::Primary));
-    assert_eq!(sent(&actions, id), Some(1));
+fn a_write_that_may_have_run_is_resent_within_the_dedup_window() {
+    let mut fixture = Fixture::new();
+    let (id, _) = fixture.request_with(WRITE, 60_000 * MS, |_| {});
+    fixture.now += 100 * MS;
+    let actions = fixture.end_attempt(id, 1, Outcome::Error, fixture.status(Role::Primary));
+    assert_eq!(sent_to(&actions, id), Some(1));
 }
 
 #[test]
-fn the_window_counts_from_the_first_send_that_may_have_run() {
-    let mut stage = Stage::new();
-    let (id, _) = stage.ask_with(WRITE, 60_000 * MS, |_| {});
-    stage.now += WINDOW - 100 * MS;
-    let actions = stage.ended(id, 1, Outcome::Error, stage.note(Role::Primary));
-    assert_eq!(sent(&actions, id), Some(1));
-    stage.now += 200 * MS;
-    let actions = stage.ended(id, 1, Outcome::Error, stage.note(Role::Primary));
-    assert!(failed(&actions, id));
+fn the_dedup_window_counts_from_the_first_send_that_may_have_run() {
+    let mut fixture = Fixture::new();
+    let (id, _) = fixture.request_with(WRITE, 60_000 * MS, |_| {});
+    fixture.now += WINDOW - 100 * MS;
+    let actions = fixture.end_attempt(id, 1, Outcome::Error, fixture.status(Role::Primary));
+    assert_eq!(sent_to(&actions, id), Some(1));
+    fixture.now += 200 * MS;
+    let actions = fixture.end_attempt(id, 1, Outcome::Error, fixture.status(Role::Primary));
+    assert!(is_failed(&actions, id));
 }
 
 #[test]
-fn an_unsafe_request_goes_out_once() {
-    let mut stage = Stage::new();
-    let (id, _) = stage.ask(UNSAFE);
-    stage.now += 50 * MS;
-    let actions = stage.ended(id, 1, Outcome::Reset, ReplyStatus::default());
-    assert!(failed(&actions, id));
-    let (id, _) = stage.ask(UNSAFE);
-    let actions = stage.ended(id, 1, Outcome::Rejected, stage.note(Role::Primary));
-    assert_eq!(sent(&actions, id), Some(1), "turned away unseen: it never ran");
+fn an_unsafe_request_is_sent_once_unless_it_was_rejected_unread() {
+    let mut fixture = Fixture::new();
+    let (id, _) = fixture.request(UNSAFE);
+    fixture.now += 50 * MS;
+    let actions = fixture.end_attempt(id, 1, Outcome::Reset, ReplyStatus::default());
+    assert!(is_failed(&actions, id));
+    let (id, _) = fixture.request(UNSAFE);
+    let actions = fixture.end_attempt(id, 1, Outcome::Rejected, fixture.status(Role::Primary));
+    assert_eq!(sent_to(&actions, id), Some(1), "rejected unread: it was not executed");
 }
 
 #[test]
-fn no_second_attempt_while_one_is_out() {
-    let mut stage = Stage::new();
-    let (id, first) = stage.ask(READ);
-    assert!(sent(&first, id).is_some());
-    let actions = stage.pass(1_500 * MS);
-    assert_eq!(sent(&actions, id), None);
+fn no_second_attempt_while_one_is_open() {
+    let mut fixture = Fixture::new();
+    let (id, first) = fixture.request(READ);
+    assert!(sent_to(&first, id).is_some());
+    let actions = fixture.advance(1_500 * MS);
+    assert_eq!(sent_to(&actions, id), None);
 }
 
 #[test]
-fn nothing_new_goes_to_a_draining_or_missing_member() {
-    let mut stage = Stage::new();
+fn no_new_request_goes_to_a_draining_or_missing_member() {
+    let mut fixture = Fixture::new();
     let draining = ListEntry { listed: ListedState::Draining, ..entry(2, 0, false) };
-    stage.list(ListKind::Delta, &[draining]);
-    let (id, actions) = stage.ask(READ);
-    assert_eq!(sent(&actions, id), Some(3));
-    stage.list(ListKind::Full, &[entry(1, 0, true)]);
-    let (id, actions) = stage.ask(READ);
-    assert_eq!(sent(&actions, id), Some(1), "a member that a full list leaves out is gone");
+    fixture.update_list(ListKind::Delta, &[draining]);
+    let (id, actions) = fixture.request(READ);
+    assert_eq!(sent_to(&actions, id), Some(3));
+    fixture.update_list(ListKind::Full, &[entry(1, 0, true)]);
+    let (id, actions) = fixture.request(READ);
+    assert_eq!(sent_to(&actions, id), Some(1), "a member missing from a full list is gone");
 }
 
 #[test]
-fn a_held_write_does_not_go_to_a_primary_that_drains_meanwhile() {
-    let mut stage = Stage::new();
+fn a_queued_write_does_not_go_to_a_primary_that_drains_meanwhile() {
+    let mut fixture = Fixture::new();
     while {
-        let (id, actions) = stage.ask(WRITE);
-        sent(&actions, id).is_some()
+        let (id, actions) = fixture.request(WRITE);
+        sent_to(&actions, id).is_some()
     } {}
     let draining = ListEntry { listed: ListedState::Draining, ..entry(1, 0, true) };
-    let mut actions = stage.list(ListKind::Delta, &[draining]);
-    actions.extend(stage.ended(RequestId(1), 1, Outcome::Served, stage.note(Role::Primary)));
-    actions.extend(stage.pass(100 * MS));
+    let mut actions = fixture.update_list(ListKind::Delta, &[draining]);
+    actions.extend(fixture.end_attempt(RequestId(1), 1, Outcome::Served, fixture.status(Role::Primary)));
+    actions.extend(fixture.advance(100 * MS));
     assert!(!actions.iter().any(|a| matches!(a, Action::Send { member: MemberId(1), .. })));
 }
 
 #[test]
-fn gone_does_not_bind_where_only_draining_does() {
+fn a_missing_member_stays_in_use_where_only_draining_binds() {
     let mut settings = settings();
     settings.rules.only_draining_binds = true;
-    let mut stage = Stage::with(settings, &entries());
-    stage.list(ListKind::Full, &[entry(1, 0, true)]);
-    let (id, actions) = stage.ask(READ);
-    assert_eq!(sent(&actions, id), Some(2));
+    let mut fixture = Fixture::ready(settings, &entries());
+    fixture.update_list(ListKind::Full, &[entry(1, 0, true)]);
+    let (id, actions) = fixture.request(READ);
+    assert_eq!(sent_to(&actions, id), Some(2));
 }
 
 #[test]
-fn a_cold_member_gets_a_part_of_what_warm_ones_get() {
-    let mut stage = Stage::new();
-    let cold = ListEntry { started: Some(stage.now), ..entry(2, 0, false) };
-    stage.list(ListKind::Delta, &[cold]);
+fn a_cold_member_gets_a_fraction_of_the_requests_of_a_warm_one() {
+    let mut fixture = Fixture::new();
+    let cold = ListEntry { started: Some(fixture.now), ..entry(2, 0, false) };
+    fixture.update_list(ListKind::Delta, &[cold]);
     let mut counts = [0; 4];
     for _ in 0..200 {
-        stage.now += 5 * MS;
-        stage.probed(2, stage.now, false);
-        stage.probed(3, stage.now, false);
-        let (id, actions) = stage.ask(ANY);
-        if let Some(member) = sent(&actions, id) {
+        fixture.now += 5 * MS;
+        fixture.answer_probe(2, fixture.now, false);
+        fixture.answer_probe(3, fixture.now, false);
+        let (id, actions) = fixture.request(ANY);
+        if let Some(member) = sent_to(&actions, id) {
             counts[member as usize] += 1;
-            stage.ended(id, member, Outcome::Served, ReplyStatus::default());
+            fixture.end_attempt(id, member, Outcome::Served, ReplyStatus::default());
         }
-        if stage.now.is_multiple_of(10 * MS) {
-            stage.event(Event::Timer);
+        if fixture.now.is_multiple_of(10 * MS) {
+            fixture.event(Event::Timer);
         }
     }
     assert!(counts[2] > 0 && 4 * counts[2] < counts[3], "{counts:?}");
 }
 
-/// Each router's first send alone would be more than a cold member can do where there are very many.
+/// In a very large fleet, the first request of each router alone would overload a cold member.
 #[test]
-fn a_fleet_that_asks_at_once_leaves_a_cold_member_its_part() {
+fn simultaneous_requests_of_a_fleet_do_not_overload_a_cold_member() {
     let (mut to_cold, fleet) = (0, 300);
     for seed in 1..=fleet {
         let cold = ListEntry { started: Some(START), ..entry(2, 0, false) };
         let list = [entry(1, 0, true), cold, entry(3, 1, false)];
-        let (mut stage, _) = Stage::seeded(seed * 7919, settings(), &list);
-        stage.now += 5 * MS;
+        let (mut fixture, _) = Fixture::with_seed(seed * 7919, settings(), &list);
+        fixture.now += 5 * MS;
         list.iter().for_each(|e| {
-            stage.probed(e.member.0, START, e.primary);
+            fixture.answer_probe(e.member.0, START, e.primary);
         });
-        let (id, actions) = stage.ask(ANY);
-        to_cold += i32::from(sent(&actions, id) == Some(2));
+        let (id, actions) = fixture.request(ANY);
+        to_cold += i32::from(sent_to(&actions, id) == Some(2));
     }
-    // A third of the requests would be its turn; it can do a fifth of a warm one's work, and may get twice that.
+    // The rotation would send it a third of the requests. It has a fifth of a warm member's capacity and may
+    // get twice that.
     assert!(to_cold > 0 && to_cold < fleet as i32 * 2 / 5 / 3, "{to_cold}");
 }
 
-/// A primary and nine replicas, one of which (2) has just started, all known to be fresh.
-fn with_a_cold_replica(seed: u64) -> Stage {
+/// A primary and nine replicas, all known to be fresh, one of which (2) has just started.
+fn with_a_cold_replica(seed: u64) -> Fixture {
     let mut list: Vec<ListEntry> = (1..=10).map(|member| entry(member, 0, member == 1)).collect();
     list[1].started = Some(START);
-    let (mut stage, _) = Stage::seeded(seed, settings(), &list);
-    stage.now += 5 * MS;
-    list.iter().for_each(|e| drop(stage.probed(e.member.0, stage.now - MS, e.primary)));
-    stage
+    let (mut fixture, _) = Fixture::with_seed(seed, settings(), &list);
+    fixture.now += 5 * MS;
+    list.iter().for_each(|e| drop(fixture.answer_probe(e.member.0, fixture.now - MS, e.primary)));
+    fixture
 }
 
-/// Each request that all answer with an error would come to the cold one too, as often as its lot lets it.
+/// Requests that every member answers with an error would otherwise all reach the cold member on a later
+/// attempt.
 #[test]
-fn a_read_that_failed_elsewhere_does_not_fall_on_a_cold_member() {
+fn a_read_that_failed_elsewhere_is_not_retried_at_a_cold_member() {
     let (mut first, mut second) = (0, 0);
     for seed in 1..=200 {
-        let mut stage = with_a_cold_replica(seed * 7919);
+        let mut fixture = with_a_cold_replica(seed * 7919);
         for _ in 0..6 {
-            // Longer than the rule's window: what the router sent before bounds nothing.
-            stage.pass(2_000 * MS);
-            (2..=10).for_each(|member| drop(stage.probed(member, stage.now, false)));
-            let (id, actions) = stage.ask(ANY);
-            let Some(member) = sent(&actions, id) else { continue };
+            // Longer than the overload window, so earlier sends do not limit the next ones.
+            fixture.advance(2_000 * MS);
+            (2..=10).for_each(|member| drop(fixture.answer_probe(member, fixture.now, false)));
+            let (id, actions) = fixture.request(ANY);
+            let Some(member) = sent_to(&actions, id) else { continue };
             first += usize::from(member == 2);
-            let actions = stage.ended(id, member, Outcome::Error, ReplyStatus::default());
-            let Some(member) = sent(&actions, id) else { continue };
+            let actions = fixture.end_attempt(id, member, Outcome::Error, ReplyStatus::default());
+            let Some(member) = sent_to(&actions, id) else { continue };
             second += usize::from(member == 2);
-            stage.ended(id, member, Outcome::Error, ReplyStatus::default());
+            fixture.end_attempt(id, member, Outcome::Error, ReplyStatus::default());
         }
     }
-    assert!(first > 0, "it has its turns");
-    assert_eq!(second, 0, "of 1,200 second attempts, and {first} first ones");
+    assert!(first > 0, "the cold member got no request");
+    assert_eq!(second, 0, "of 1,200 second attempts came to the cold member, and {first} first attempts");
 }
 
-/// Requests that every member answers with an error at once cost no work, and so say nothing of what one can do.
+/// Immediate errors cost a member no work, so they must not count as evidence of how much work a member can
+/// do.
 #[test]
-fn errors_at_warm_members_leave_a_cold_one_no_more() {
-    let to_cold = |junk: usize| {
-        let mut stage = with_a_cold_replica(7);
+fn errors_at_warm_members_do_not_raise_the_load_of_a_cold_one() {
+    let to_cold = |errors: usize| {
+        let mut fixture = with_a_cold_replica(7);
         let mut to_cold = 0;
         for _ in 0..300 {
-            stage.now += 5 * MS;
-            (2..=10).for_each(|member| drop(stage.probed(member, stage.now, false)));
-            for i in 0..=junk {
-                let (id, mut actions) = stage.ask(ANY);
-                while let Some(member) = sent(&actions, id) {
+            fixture.now += 5 * MS;
+            (2..=10).for_each(|member| drop(fixture.answer_probe(member, fixture.now, false)));
+            for i in 0..=errors {
+                let (id, mut actions) = fixture.request(ANY);
+                while let Some(member) = sent_to(&actions, id) {
                     to_cold += usize::from(member == 2);
                     let outcome = if i == 0 { Outcome::Served } else { Outcome::Error };
-                    actions = stage.ended(id, member, outcome, ReplyStatus::default());
+                    actions = fixture.end_attempt(id, member, outcome, ReplyStatus::default());
                 }
             }
         }
         to_cold
     };
-    let (calm, junk) = (to_cold(0), to_cold(6));
-    assert!(calm > 0 && junk < 2 * calm, "{calm} without junk, {junk} with six times as much");
+    let (calm, errors) = (to_cold(0), to_cold(6));
+    assert!(
+        calm > 0 && errors < 2 * calm,
+        "{calm} requests without errors, {errors} with six failing requests for each"
+    );
 }
 
 #[test]
-fn a_request_whose_group_went_quiet_meanwhile_is_answered() {
-    let mut stage = Stage::new();
-    let (id, actions) = stage.ask_with(WRITE, 3_000 * MS, |_| {});
-    let member = sent(&actions, id).unwrap();
-    stage.pass(2_000 * MS);
+fn a_request_whose_group_was_drained_meanwhile_is_answered() {
+    let mut fixture = Fixture::new();
+    let (id, actions) = fixture.request_with(WRITE, 3_000 * MS, |_| {});
+    let member = sent_to(&actions, id).unwrap();
+    fixture.advance(2_000 * MS);
     let drained: Vec<ListEntry> =
         entries().into_iter().map(|e| ListEntry { listed: ListedState::Draining, ..e }).collect();
-    stage.list(ListKind::Delta, &drained);
-    let mut actions = stage.ended(id, member, Outcome::Rejected, ReplyStatus::default());
-    assert_eq!(sent(&actions, id), None);
-    actions.extend(stage.pass(1_500 * MS));
-    assert!(refused(&actions, id));
+    fixture.update_list(ListKind::Delta, &drained);
+    let mut actions = fixture.end_attempt(id, member, Outcome::Rejected, ReplyStatus::default());
+    assert_eq!(sent_to(&actions, id), None);
+    actions.extend(fixture.advance(1_500 * MS));
+    assert!(is_refused(&actions, id));
 }
 
 #[test]
-fn a_former_primary_is_no_longer_excused() {
-    let mut stage = Stage::new();
-    let (id, _) = stage.ask(WRITE);
-    stage.now += 2 * BOUND;
+fn a_former_primary_must_meet_the_staleness_bound() {
+    let mut fixture = Fixture::new();
+    let (id, _) = fixture.request(WRITE);
+    fixture.now += 2 * BOUND;
     let behind = ReplyStatus { position: Some(START), role: Some(Role::Replica) };
-    stage.ended(id, 1, Outcome::Misdirected, behind);
-    let (id, _) = stage.ask(READ);
-    let actions = stage.pass(100 * MS);
-    assert_eq!(sent(&actions, id), None);
+    fixture.end_attempt(id, 1, Outcome::Misdirected, behind);
+    let (id, _) = fixture.request(READ);
+    let actions = fixture.advance(100 * MS);
+    assert_eq!(sent_to(&actions, id), None);
 }
 
 #[test]
-fn a_stale_list_does_not_bring_back_a_deposed_primary() {
-    let mut stage = Stage::new();
-    let (id, _) = stage.ask(WRITE);
-    stage.now += 20 * MS;
-    stage.ended(id, 1, Outcome::Misdirected, stage.note(Role::Replica));
-    stage.probed(3, stage.now, true);
-    stage.list(ListKind::Full, &entries());
-    let (id, actions) = stage.ask(WRITE);
-    assert_eq!(sent(&actions, id), Some(3));
+fn a_stale_list_does_not_restore_a_former_primary() {
+    let mut fixture = Fixture::new();
+    let (id, _) = fixture.request(WRITE);
+    fixture.now += 20 * MS;
+    fixture.end_attempt(id, 1, Outcome::Misdirected, fixture.status(Role::Replica));
+    fixture.answer_probe(3, fixture.now, true);
+    fixture.update_list(ListKind::Full, &entries());
+    let (id, actions) = fixture.request(WRITE);
+    assert_eq!(sent_to(&actions, id), Some(3));
 }
 
 #[test]
-fn a_late_report_does_not_bring_back_a_deposed_primary() {
-    let mut stage = Stage::new();
-    let spoke = stage.now;
-    let (id, _) = stage.ask(WRITE);
-    stage.now += 20 * MS;
-    stage.ended(id, 1, Outcome::Misdirected, stage.note(Role::Replica));
-    stage.probed(1, spoke, true);
-    let (id, actions) = stage.ask(WRITE);
-    assert_eq!(sent(&actions, id), None);
+fn a_late_report_does_not_restore_a_former_primary() {
+    let mut fixture = Fixture::new();
+    let spoke = fixture.now;
+    let (id, _) = fixture.request(WRITE);
+    fixture.now += 20 * MS;
+    fixture.end_attempt(id, 1, Outcome::Misdirected, fixture.status(Role::Replica));
+    fixture.answer_probe(1, spoke, true);
+    let (id, actions) = fixture.request(WRITE);
+    assert_eq!(sent_to(&actions, id), None);
 }
 
 #[test]
-fn a_commit_is_not_taken_for_a_members_position() {
-    let mut stage = Stage::new();
-    let (id, _) = stage.ask(WRITE);
-    stage.now += 2 * BOUND;
-    // A replica cannot commit; if a note says so, its position is still not the commit's time.
-    stage.ended(id, 2, Outcome::Served, stage.note(Role::Replica));
-    let (id, mut actions) = stage.ask(READ);
-    actions.extend(stage.pass(60 * MS));
-    assert_eq!(sent(&actions, id), Some(1));
+fn a_commit_is_not_taken_for_the_position_of_a_member() {
+    let mut fixture = Fixture::new();
+    let (id, _) = fixture.request(WRITE);
+    fixture.now += 2 * BOUND;
+    // A replica cannot commit. If an answer claims so, the commit is still not the replica's position.
+    fixture.end_attempt(id, 2, Outcome::Served, fixture.status(Role::Replica));
+    let (id, mut actions) = fixture.request(READ);
+    actions.extend(fixture.advance(60 * MS));
+    assert_eq!(sent_to(&actions, id), Some(1));
 }
 
 #[test]
-fn a_position_ahead_of_the_clock_is_not_believed() {
-    let mut stage = Stage::new();
-    stage.now += 2 * BOUND;
-    stage.probed(2, stage.now + 3_600_000 * MS, false);
-    let (id, mut actions) = stage.ask(READ);
-    actions.extend(stage.pass(60 * MS));
-    assert_eq!(sent(&actions, id), Some(1));
+fn a_position_ahead_of_the_clock_is_ignored() {
+    let mut fixture = Fixture::new();
+    fixture.now += 2 * BOUND;
+    fixture.answer_probe(2, fixture.now + 3_600_000 * MS, false);
+    let (id, mut actions) = fixture.request(READ);
+    actions.extend(fixture.advance(60 * MS));
+    assert_eq!(sent_to(&actions, id), Some(1));
 }
 
 #[test]
-fn an_unknown_class_is_failed_at_once() {
-    let mut stage = Stage::new();
-    let (id, actions) = stage.ask(99);
-    assert!(failed(&actions, id));
+fn a_request_of_an_unknown_class_fails_at_once() {
+    let mut fixture = Fixture::new();
+    let (id, actions) = fixture.request(99);
+    assert!(is_failed(&actions, id));
 }
 
 #[test]
-fn a_member_that_drained_and_then_went_stays_barred_where_only_draining_binds() {
+fn a_member_that_drained_and_then_left_stays_excluded_where_only_draining_binds() {
     let mut settings = settings();
     settings.rules.only_draining_binds = true;
-    let mut stage = Stage::with(settings, &entries());
-    stage.list(ListKind::Delta, &[ListEntry { listed: ListedState::Draining, ..entry(2, 0, false) }]);
-    stage.list(ListKind::Delta, &[ListEntry { listed: ListedState::Gone, ..entry(2, 0, false) }]);
-    let (id, actions) = stage.ask(READ);
-    assert_eq!(sent(&actions, id), Some(3));
+    let mut fixture = Fixture::ready(settings, &entries());
+    fixture
+        .update_list(ListKind::Delta, &[ListEntry { listed: ListedState::Draining, ..entry(2, 0, false) }]);
+    fixture.update_list(ListKind::Delta, &[ListEntry { listed: ListedState::Gone, ..entry(2, 0, false) }]);
+    let (id, actions) = fixture.request(READ);
+    assert_eq!(sent_to(&actions, id), Some(3));
 }
 
 #[test]
-fn a_write_whose_repeats_a_zone_drops_is_not_resent_to_another_zone() {
+fn a_write_with_zone_scoped_dedup_is_not_resent_to_another_zone() {
     let mut settings = settings();
     settings.classes[WRITE].effect = Effect::Keyed(DedupScope::Zone, WINDOW);
-    let mut stage = Stage::with(settings, &entries());
-    let (id, _) = stage.ask(WRITE);
-    stage.now += 50 * MS;
-    stage.ended(id, 1, Outcome::Error, stage.note(Role::Replica));
-    stage.now += 20 * MS;
-    let mut actions = stage.probed(3, stage.now, true);
-    actions.extend(stage.pass(100 * MS));
-    assert_eq!(sent(&actions, id), None, "the new primary is in another zone");
-    let (fresh, actions) = stage.ask(WRITE);
-    assert_eq!(sent(&actions, fresh), Some(3), "a write that never ran may go there");
+    let mut fixture = Fixture::ready(settings, &entries());
+    let (id, _) = fixture.request(WRITE);
+    fixture.now += 50 * MS;
+    fixture.end_attempt(id, 1, Outcome::Error, fixture.status(Role::Replica));
+    fixture.now += 20 * MS;
+    let mut actions = fixture.answer_probe(3, fixture.now, true);
+    actions.extend(fixture.advance(100 * MS));
+    assert_eq!(sent_to(&actions, id), None, "the new primary is in another zone");
+    let (fresh, actions) = fixture.request(WRITE);
+    assert_eq!(sent_to(&actions, fresh), Some(3), "a write that was never executed may go there");
 }
 
 #[test]
-fn a_send_that_waited_is_withdrawn_once_its_member_drains() {
-    let mut stage = Stage::new();
-    let (id, actions) = stage.ask(READ);
-    assert_eq!(sent(&actions, id), Some(2));
-    assert!(stage.router.confirm(stage.now, id, MemberId(2)));
-    stage.list(ListKind::Delta, &[ListEntry { listed: ListedState::Draining, ..entry(2, 0, false) }]);
-    assert!(!stage.router.confirm(stage.now, id, MemberId(2)));
-    let actions = stage.ended(id, 2, Outcome::NeverSent, ReplyStatus::default());
-    assert_eq!(sent(&actions, id), Some(3), "it goes elsewhere instead");
+fn a_delayed_send_is_withdrawn_once_its_member_drains() {
+    let mut fixture = Fixture::new();
+    let (id, actions) = fixture.request(READ);
+    assert_eq!(sent_to(&actions, id), Some(2));
+    assert!(fixture.router.confirm(fixture.now, id, MemberId(2)));
+    fixture
+        .update_list(ListKind::Delta, &[ListEntry { listed: ListedState::Draining, ..entry(2, 0, false) }]);
+    assert!(!fixture.router.confirm(fixture.now, id, MemberId(2)));
+    let actions = fixture.end_attempt(id, 2, Outcome::NeverSent, ReplyStatus::default());
+    assert_eq!(sent_to(&actions, id), Some(3), "the request is sent to another member");
 }
 
 #[test]
-fn a_send_that_waited_is_withdrawn_once_the_known_position_is_too_old() {
-    let mut stage = Stage::new();
-    let (id, actions) = stage.ask(READ);
-    assert_eq!(sent(&actions, id), Some(2));
-    stage.now += BOUND - 2 * MS;
-    assert!(stage.router.confirm(stage.now, id, MemberId(2)));
-    stage.now += 2 * MS;
-    assert!(!stage.router.confirm(stage.now, id, MemberId(2)));
+fn a_delayed_send_is_withdrawn_once_the_known_position_is_too_old() {
+    let mut fixture = Fixture::new();
+    let (id, actions) = fixture.request(READ);
+    assert_eq!(sent_to(&actions, id), Some(2));
+    fixture.now += BOUND - 2 * MS;
+    assert!(fixture.router.confirm(fixture.now, id, MemberId(2)));
+    fixture.now += 2 * MS;
+    assert!(!fixture.router.confirm(fixture.now, id, MemberId(2)));
 }
 
 #[test]
-fn a_send_that_waited_is_withdrawn_once_the_member_says_that_it_is_no_primary() {
-    let mut stage = Stage::new();
-    let (id, actions) = stage.ask(WRITE);
-    assert_eq!(sent(&actions, id), Some(1));
-    stage.now += 10 * MS;
-    stage.probed(1, stage.now, false);
-    assert!(!stage.router.confirm(stage.now, id, MemberId(1)));
+fn a_delayed_send_is_withdrawn_once_the_member_states_that_it_is_not_primary() {
+    let mut fixture = Fixture::new();
+    let (id, actions) = fixture.request(WRITE);
+    assert_eq!(sent_to(&actions, id), Some(1));
+    fixture.now += 10 * MS;
+    fixture.answer_probe(1, fixture.now, false);
+    assert!(!fixture.router.confirm(fixture.now, id, MemberId(1)));
 }
 
 #[test]
-fn a_send_that_waited_is_withdrawn_once_its_time_or_its_client_is_gone() {
-    let mut stage = Stage::new();
-    let (id, _) = stage.ask_with(WRITE, 300 * MS, |_| {});
-    assert!(!stage.router.confirm(stage.now + 300 * MS, id, MemberId(1)));
-    let (id, _) = stage.ask(WRITE);
-    assert!(stage.router.confirm(stage.now, id, MemberId(1)));
-    stage.event(Event::ClientDisconnected(id));
-    assert!(!stage.router.confirm(stage.now, id, MemberId(1)));
-}
-
-/// Decided inside the window, it waits for a connection until that is over: at the instant of the write it is asked again.
+fn a_delayed_send_is_withdrawn_once_its_request_expires_or_its_client_disconnects() {
+    let mut fixture = Fixture::new();
+    let (id, _) = fixture.request_with(WRITE, 300 * MS, |_| {});
+    assert!(!fixture.router.confirm(fixture.now + 300 * MS, id, MemberId(1)));
+    let (id, _) = fixture.request(WRITE);
+    assert!(fixture.router.confirm(fixture.now, id, MemberId(1)));
+    fixture.event(Event::ClientDisconnected(id));
+    assert!(!fixture.router.confirm(fixture.now, id, MemberId(1)));
+}
+
+/// A repeat decided within the dedup window may wait for a connection until the window is over, so it is
+/// checked again right before it is written.
 #[test]
-fn a_repeat_that_waited_is_withdrawn_once_the_keys_window_is_over() {
-    let mut stage = Stage::new();
-    let (id, actions) = stage.ask_with(WRITE, 8_000 * MS, |_| {});
-    assert_eq!(sent(&actions, id), Some(1));
-    stage.now += WINDOW - 100 * MS;
-    let actions = stage.ended(id, 1, Outcome::Reset, ReplyStatus::default());
-    assert_eq!(sent(&actions, id), Some(1), "a repeat inside the window");
-    stage.now += 99 * MS;
-    assert!(stage.router.confirm(stage.now, id, MemberId(1)));
-    stage.now += 2 * MS;
+fn a_delayed_repeat_is_withdrawn_once_the_dedup_window_is_over() {
+    let mut fixture = Fixture::new();
+    let (id, actions) = fixture.request_with(WRITE, 8_000 * MS, |_| {});
+    assert_eq!(sent_to(&actions, id), Some(1));
+    fixture.now += WINDOW - 100 * MS;
+    let actions = fixture.end_attempt(id, 1, Outcome::Reset, ReplyStatus::default());
+    assert_eq!(sent_to(&actions, id), Some(1), "a repeat within the window");
+    fixture.now += 99 * MS;
+    assert!(fixture.router.confirm(fixture.now, id, MemberId(1)));
+    fixture.now += 2 * MS;
     assert!(
-        !stage.router.confirm(stage.now, id, MemberId(1)),
-        "counted from the first send that may have run"
+        !fixture.router.confirm(fixture.now, id, MemberId(1)),
+        "the window counts from the first send that may have been executed"
     );
 }
 
 #[test]
-fn what_could_not_be_sent_by_half_its_time_is_refused_while_its_client_can_still_go_elsewhere() {
-    let mut stage = Stage::with(settings(), &[entry(2, 0, false), entry(3, 1, false)]);
-    let (id, actions) = stage.ask_with(WRITE, 2_000 * MS, |_| {});
-    assert_eq!(sent(&actions, id), None, "no primary is known");
-    assert!(!refused(&stage.pass(900 * MS), id));
-    assert!(refused(&stage.pass(100 * MS), id));
+fn a_request_unsent_after_half_its_budget_is_refused_so_that_its_client_can_try_elsewhere() {
+    let mut fixture = Fixture::ready(settings(), &[entry(2, 0, false), entry(3, 1, false)]);
+    let (id, actions) = fixture.request_with(WRITE, 2_000 * MS, |_| {});
+    assert_eq!(sent_to(&actions, id), None, "no primary is known");
+    assert!(!is_refused(&fixture.advance(900 * MS), id));
+    assert!(is_refused(&fixture.advance(100 * MS), id));
 }
 
 #[test]
-fn what_was_sent_once_may_wait_for_another_attempt_up_to_its_end() {
-    let mut stage = Stage::new();
-    let (id, actions) = stage.ask_with(WRITE, 2_000 * MS, |_| {});
-    assert_eq!(sent(&actions, id), Some(1));
-    stage.now += 10 * MS;
-    stage.ended(id, 1, Outcome::Misdirected, stage.note(Role::Replica));
-    let answered = |actions: &[Action]| refused(actions, id) || failed(actions, id);
-    assert!(!answered(&stage.pass(1_500 * MS)));
-    assert!(answered(&stage.pass(500 * MS)));
+fn a_request_sent_once_may_wait_for_another_attempt_until_it_expires() {
+    let mut fixture = Fixture::new();
+    let (id, actions) = fixture.request_with(WRITE, 2_000 * MS, |_| {});
+    assert_eq!(sent_to(&actions, id), Some(1));
+    fixture.now += 10 * MS;
+    fixture.end_attempt(id, 1, Outcome::Misdirected, fixture.status(Role::Replica));
+    let answered = |actions: &[Action]| is_refused(actions, id) || is_failed(actions, id);
+    assert!(!answered(&fixture.advance(1_500 * MS)));
+    assert!(answered(&fixture.advance(500 * MS)));
 }
 
 #[test]
-fn what_waits_for_room_at_a_primary_that_is_well_waits_on_after_half_its_time() {
-    let mut stage = Stage::new();
-    let mut ask = || stage.ask_with(WRITE, 1_600 * MS, |_| {});
+fn a_request_queued_at_a_healthy_primary_waits_beyond_half_its_budget() {
+    let mut fixture = Fixture::new();
+    let mut ask = || fixture.request_with(WRITE, 1_600 * MS, |_| {});
     let (waiting, _) = loop {
         let (id, actions) = ask();
-        if sent(&actions, id).is_none() {
+        if sent_to(&actions, id).is_none() {
             break (id, actions);
         }
     };
-    assert!(!refused(&stage.pass(810 * MS), waiting));
+    assert!(!is_refused(&fixture.advance(810 * MS), waiting));
 }
 
-/// Writes have nowhere else to go than a primary that has just started: one at a time from each of a few routers is
-/// little for it, and what comes next waits for what went before.
+/// Writes can only go to the primary, even if it has just started. One write at a time from each of a few
+/// routers is little load for it; further writes wait for the earlier one.
 #[test]
 fn a_cold_primary_gets_one_write_at_a_time_from_each_of_few_routers() {
     let mut list = entries();
     list[0].started = Some(START);
     let mut settings = settings();
     settings.classes[WRITE].latency_target = 300 * MS;
-    let mut stage = Stage::with(settings.clone(), &list);
-    stage.took = 20 * MS;
+    let mut fixture = Fixture::ready(settings.clone(), &list);
+    fixture.attempt_duration = 20 * MS;
     for _ in 0..20 {
-        let (id, actions) = stage.ask(WRITE);
-        assert_eq!(sent(&actions, id), Some(1), "whatever its lot");
-        let (next, actions) = stage.ask(WRITE);
-        assert_eq!(sent(&actions, next), None, "one is out");
-        stage.now += 20 * MS;
-        let actions = stage.ended(id, 1, Outcome::Served, stage.note(Role::Primary));
-        assert_eq!(sent(&actions, next), Some(1));
-        stage.now += 20 * MS;
-        stage.ended(next, 1, Outcome::Served, stage.note(Role::Primary));
+        let (id, actions) = fixture.request(WRITE);
+        assert_eq!(sent_to(&actions, id), Some(1), "whatever the random draw");
+        let (next, actions) = fixture.request(WRITE);
+        assert_eq!(sent_to(&actions, next), None, "a write is already open");
+        fixture.now += 20 * MS;
+        let actions = fixture.end_attempt(id, 1, Outcome::Served, fixture.status(Role::Primary));
+        assert_eq!(sent_to(&actions, next), Some(1));
+        fixture.now += 20 * MS;
+        fixture.end_attempt(next, 1, Outcome::Served, fixture.status(Role::Primary));
     }
-    // Of many routers, one each would be a burst.
+    // One write from each of many routers would be a burst.
     settings.routers = 300;
     let taken = (1..=50).filter(|seed| {
-        let (mut stage, _) = Stage::seeded(seed * 7919, settings.clone(), &list);
-        stage.now += 5 * MS;
-        stage.probed(1, stage.now - MS, true);
-        let (id, actions) = stage.ask(WRITE);
-        sent(&actions, id).is_some()
+        let (mut fixture, _) = Fixture::with_seed(seed * 7919, settings.clone(), &list);
+        fixture.now += 5 * MS;
+        fixture.answer_probe(1, fixture.now - MS, true);
+        let (id, actions) = fixture.request(WRITE);
+        sent_to(&actions, id).is_some()
     });
     assert!(taken.count() <= 20);
 }
