--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -23,7 +23,7 @@
 pub const BOUND: Micros = 200 * MS;
 /// Time for which members drop repeats of requests of the class `WRITE`, in microseconds.
 pub const WINDOW: Micros = 3_000 * MS;
-/// Grace period of a drain, in microseconds.
+/// Grace period of a drain, in microseconds; no test uses it at present.
 pub const GRACE: Micros = 500 * MS;
 
 /// A class with a deadline of 2 s and a value of 1.
--- a/tests/random_events.rs
+++ b/tests/random_events.rs
@@ -303,15 +303,15 @@
 
 #[test]
 fn random_histories_keep_the_rules() {
-    let mut asked = 0;
+    let mut request_count = 0;
     for seed in 1..=150 {
         let mut simulation = Simulation::new(seed);
         for _ in 0..600 {
             simulation.step();
         }
-        asked += simulation.next;
+        request_count += simulation.next;
     }
-    assert!(asked > 10_000, "the histories contain too few requests: {asked}");
+    assert!(request_count > 10_000, "the histories contain too few requests: {request_count}");
 }
 
 #[test]
--- a/tests/rules_kept.rs
+++ b/tests/rules_kept.rs
@@ -228,8 +228,8 @@
     let mut fixture = Fixture::new();
     let (id, _) = fixture.request(WRITE);
     fixture.now += 2 * BOUND;
-    let behind = ReplyStatus { position: Some(START), role: Some(Role::Replica) };
-    fixture.end_attempt(id, 1, Outcome::Misdirected, behind);
+    let lagging_status = ReplyStatus { position: Some(START), role: Some(Role::Replica) };
+    fixture.end_attempt(id, 1, Outcome::Misdirected, lagging_status);
     let (id, _) = fixture.request(READ);
     let actions = fixture.advance(100 * MS);
     assert_eq!(sent_to(&actions, id), None);
@@ -250,11 +250,11 @@
 #[test]
 fn a_late_report_does_not_restore_a_former_primary() {
     let mut fixture = Fixture::new();
-    let spoke = fixture.now;
+    let stated_at = fixture.now;
     let (id, _) = fixture.request(WRITE);
     fixture.now += 20 * MS;
     fixture.end_attempt(id, 1, Outcome::Misdirected, fixture.status(Role::Replica));
-    fixture.answer_probe(1, spoke, true);
+    fixture.answer_probe(1, stated_at, true);
     let (id, actions) = fixture.request(WRITE);
     assert_eq!(sent_to(&actions, id), None);
 }
--- a/tests/troubles.rs
+++ b/tests/troubles.rs
@@ -24,17 +24,17 @@
     let mut settings = settings();
     settings.limits.peer_messages = true;
     let mut fixture = Fixture::ready(settings, &list);
-    let told = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::SendPeerUpdates(_)));
-    assert!(told(&fixture.advance(10 * MS)), "the results of its own probes");
+    let sends_updates = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::SendPeerUpdates(_)));
+    assert!(sends_updates(&fixture.advance(10 * MS)), "the results of its own probes");
     fixture.advance(2_000 * MS);
-    let word = |position| MemberUpdate { member: MemberId(2), position, role: Some(Role::Replica) };
-    fixture.event(Event::PeerUpdates(vec![word(fixture.now - 10 * MS)]));
+    let update = |position| MemberUpdate { member: MemberId(2), position, role: Some(Role::Replica) };
+    fixture.event(Event::PeerUpdates(vec![update(fixture.now - 10 * MS)]));
     let (id, actions) = fixture.request(READ);
     assert_eq!((sent_to(&actions, id), probe_count(&actions, 2)), (Some(2), 0));
-    assert!(!told(&fixture.advance(10 * MS)), "the peers know it already");
+    assert!(!sends_updates(&fixture.advance(10 * MS)), "the peers know it already");
     fixture.end_attempt(id, 2, Outcome::Served, fixture.status(Role::Replica));
-    assert!(!told(&fixture.advance(10 * MS)), "the position is hardly newer");
-    fixture.event(Event::PeerUpdates(vec![word(fixture.now + 1_000 * MS)]));
+    assert!(!sends_updates(&fixture.advance(10 * MS)), "the position is hardly newer");
+    fixture.event(Event::PeerUpdates(vec![update(fixture.now + 1_000 * MS)]));
     fixture.advance(2 * BOUND);
     let (id, mut actions) = fixture.request(READ);
     actions.extend(fixture.advance(60 * MS));
@@ -118,18 +118,18 @@
         let (mut fixture, _) = Fixture::with_seed(seed * 104_729, settings.clone(), &list);
         list.iter().for_each(|e| drop(fixture.answer_probe(e.member.0, START - MS, e.primary)));
         let (id, actions) = fixture.request(ANY);
-        let late = sent_to(&actions, id).unwrap();
+        let late_member = sent_to(&actions, id).unwrap();
         fixture.now += 2_000 * MS;
         fixture.attempt_duration = 1_500 * MS;
-        fixture.end_attempt(id, late, Outcome::Served, ReplyStatus::default());
+        fixture.end_attempt(id, late_member, Outcome::Served, ReplyStatus::default());
         let (id, actions) = fixture.request(ANY);
         let other = sent_to(&actions, id).unwrap();
-        assert_ne!(late, other);
+        assert_ne!(late_member, other);
         fixture.attempt_duration = 50 * MS;
         fixture.end_attempt(id, other, Outcome::Served, ReplyStatus::default());
         fixture.now += MS;
         let (id, actions) = fixture.request(ANY);
-        to_two += i32::from(sent_to(&actions, id) == Some(late));
+        to_two += i32::from(sent_to(&actions, id) == Some(late_member));
     }
     assert!(to_two < 25, "{to_two} of 50 routers sent their next request to the overloaded member");
 }
@@ -186,22 +186,22 @@
 #[test]
 fn idle_connections_are_closed_after_a_refused_connection() {
     let mut fixture = Fixture::new();
-    let closes = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::CloseIdle(_)));
+    let closes_idle = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::CloseIdle(_)));
     let serve = |fixture: &mut Fixture| {
         let (id, actions) = fixture.request(ANY);
         let member = sent_to(&actions, id).unwrap();
         fixture.end_attempt(id, member, Outcome::Served, ReplyStatus::default())
     };
-    assert!(!closes(&serve(&mut fixture)));
+    assert!(!closes_idle(&serve(&mut fixture)));
     let (id, actions) = fixture.request(ANY);
     let member = sent_to(&actions, id).unwrap();
     fixture.attempt_duration = 5 * MS;
     let actions = fixture.end_attempt(id, member, Outcome::Unreachable, ReplyStatus::default());
     let other = sent_to(&actions, id).unwrap();
     assert_ne!(other, member);
-    assert!(closes(&fixture.end_attempt(id, other, Outcome::Served, ReplyStatus::default())));
+    assert!(closes_idle(&fixture.end_attempt(id, other, Outcome::Served, ReplyStatus::default())));
     (0..100).for_each(|_| drop(serve(&mut fixture)));
-    assert!(!closes(&serve(&mut fixture)), "connections succeed again");
+    assert!(!closes_idle(&serve(&mut fixture)), "connections succeed again");
 }
 
 /// If idle connections were closed, each request would wait for a connection that is established too late.
