--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -384,7 +384,7 @@
         let latency_target = self.settings.classes[attempt.class].latency_target as f64;
         let min_limit = (INITIAL_LIMIT / f64::from(self.settings.routers.max(1))).min(1.0);
         let delay = ended.took as f64 - service.unloaded_mean;
-        let strain = match outcome {
+        let overload_ratio = match outcome {
             Outcome::Served | Outcome::TimedOut
                 if !answer_lost || self.lost_share < SCARCE_CONNECTIONS_SHARE =>
             {
@@ -399,9 +399,9 @@
         let open_attempts = (member.open.len() + 1) as f64;
         member.limit =
             member.current_limit(now).max(if was_silent && !member.is_silent() { min_limit } else { 0.0 });
-        if strain > 1.0 {
-            member.limit =
-                (member.limit.min(open_attempts) * (1.0 - weight * (1.0 - 1.0 / strain))).max(min_limit);
+        if overload_ratio > 1.0 {
+            member.limit = (member.limit.min(open_attempts) * (1.0 - weight * (1.0 - 1.0 / overload_ratio)))
+                .max(min_limit);
         } else if open_attempts + 1.0 >= member.limit {
             member.limit += if member.limit < 1.0 { weight * member.limit } else { 1.0 / member.limit };
         }
@@ -529,7 +529,7 @@
         queue.sort_by_cached_key(|id| self.queue_order(&self.pending[id]));
         queue.retain(|id| {
             let pending = &self.pending[id];
-            let lapsed = pending.arrived_at < self.now && self.is_hopeless(pending);
+            let lapsed = pending.arrived_at < self.now && self.must_give_up(pending);
             let chosen =
                 if lapsed || self.now < pending.not_before { None } else { self.choose_member(pending) };
             let finished =
@@ -575,13 +575,13 @@
             let due = |p: &Member| {
                 self.now >= p.last_sent_at + PRIMARY_SEARCH_PERIOD * u64::from(self.settings.routers)
             };
-            let fit = |p: &&Member| self.has_room(pending, p) || p.is_silent() && due(p);
-            return primary.filter(fit).map(|p| p.id);
+            let is_eligible = |p: &&Member| self.has_room(pending, p) || p.is_silent() && due(p);
+            return primary.filter(is_eligible).map(|p| p.id);
         }
-        let fit = |m: &&Member| {
+        let is_eligible = |m: &&Member| {
             !self.is_primary(m) && !pending.tried_members.contains(&m.id) && self.may_send(pending, m)
         };
-        let eligible: Vec<&Member> = self.group_members(pending.group).filter(fit).collect();
+        let eligible: Vec<&Member> = self.group_members(pending.group).filter(is_eligible).collect();
         if let Some(suspect) = eligible.iter().find(|m| m.is_silent() && self.has_room(pending, m)) {
             return Some(suspect.id);
         }
@@ -610,8 +610,8 @@
         let long_read = any_age && self.services[pending.class].unloaded_mean > self.tightest_bound as f64;
         let lag = |m: &Member| if long_read { m.position_learned_at.saturating_sub(m.position) } else { 0 };
         let random_order = |m: &Member| (self.member_draw(pending, m) * 1e9) as u64;
-        let would_guess = |m: &Member| self.members_check_lag() && self.is_lagging(m);
-        let order = |m: &Member| (u64::MAX - lag(m), would_guess(m), self.tier(m.zone));
+        let likely_rejects = |m: &Member| self.members_check_lag() && self.is_lagging(m);
+        let order = |m: &Member| (u64::MAX - lag(m), likely_rejects(m), self.tier(m.zone));
         let turn = |m: &Member| (order(m), m.last_sent_at, m.open.len(), random_order(m));
         among.filter(|m| self.has_room(pending, m)).min_by_key(|m| turn(m)).map(|m| m.id)
     }
@@ -641,11 +641,11 @@
         // recently: delayed reports make all members seem to lag, and few routers hear from a member as often
         // as the token of a session requires. A cold member that lags is not tried, since rejecting reads
         // would use up its capacity.
-        let willing = self.now >= member.lag_rejected_at + LAG_REJECTION_PAUSE
+        let may_accept = self.now >= member.lag_rejected_at + LAG_REJECTION_PAUSE
             && (!self.is_lagging(member) || self.warm_share(member) >= 1.0);
         let may_try = self.members_check_lag()
             && member.position_learned_at > 0
-            && willing
+            && may_accept
             && pending.tried_members.len() <= REQUEST_FAULT_FAILURES as usize;
         match self.settings.classes[pending.class].consistency {
             Consistency::Bounded(bound) => {
@@ -785,11 +785,11 @@
         let spill = spilled.and_then(|zone| self.zone_advice.get_mut(&zone)?.spill.as_mut());
         spill.into_iter().for_each(|spill| spill.credit -= service.unloaded_mean);
         let class = &self.settings.classes[pending.class];
-        let patience =
+        let early_timeout =
             (service.tail() as Micros).max(class.latency_target / 2) << pending.tried_members.len();
         let late_answer_useful = class.late_value_share > 0.0 && class.effect != Effect::Unsafe;
         let wait =
-            if late_answer_useful && self.lost_share > SCARCE_CONNECTIONS_SHARE { patience } else { 0 };
+            if late_answer_useful && self.lost_share > SCARCE_CONNECTIONS_SHARE { early_timeout } else { 0 };
         let wait = [wait, pending.route_limits.attempt].into_iter().filter(|w| *w > 0).min().unwrap_or(0);
         pending.attempt_sent_at = Some(now);
         pending.tried_members.push(to);
@@ -819,7 +819,7 @@
                     .or_insert(commit);
             }
             self.pending.remove(&id);
-        } else if self.pending.get(&id).is_none_or(|pending| self.is_hopeless(pending)) {
+        } else if self.pending.get(&id).is_none_or(|pending| self.must_give_up(pending)) {
             self.refuse_or_fail(id, actions);
         } else {
             return self.enqueue(group, id, actions);
@@ -828,7 +828,7 @@
     }
 
     /// Returns whether another attempt is forbidden or is unlikely to end in time to earn anything.
-    fn is_hopeless(&self, pending: &PendingRequest) -> bool {
+    fn must_give_up(&self, pending: &PendingRequest) -> bool {
         let (class, service) = (&self.settings.classes[pending.class], &self.services[pending.class]);
         let primary_lost = self.primary(pending.group).is_none_or(|p| !self.is_healthy(p));
         let end = if primary_lost && pending.tried_members.is_empty() {
--- a/src/policy/probe_share.rs
+++ b/src/policy/probe_share.rs
@@ -52,8 +52,8 @@
         (due as u64 * PROBING_ROUTERS).div_ceil(self.0.max(PROBING_ROUTERS)) as usize
     }
 
-    /// Returns the pause between this router's probes with which the fleet probes as often as `PROBING_ROUTERS`
-    /// routers that each pause for `single_pause`; at most `longest`.
+    /// Returns the pause between this router's probes with which the fleet probes as often as
+    /// `PROBING_ROUTERS` routers that each pause for `single_pause`; at most `longest`.
     pub fn fleet_pause(self, single_pause: Micros, longest: Micros) -> Micros {
         (single_pause.saturating_mul(self.0.max(PROBING_ROUTERS)) / PROBING_ROUTERS).min(longest)
     }
