--- a/crates/steering/benches/cost.rs
+++ b/crates/steering/benches/cost.rs
@@ -1,7 +1,8 @@
-//! What a request costs in the composition: with and without planners, for small and large fleets. One request
-//! is its arrival, its send, and the end of its attempt, with the router's timer in between as often as it rings.
+//! Measures the time that the composition takes for a request, with and without the zone planner, for small
+//! and large numbers of members. A request consists of its arrival, the send of its attempt and the end of
+//! the attempt, and of its part of the router's timer events.
 
-#![allow(missing_docs)] // What the benchmark's macros make.
+#![allow(missing_docs)] // The macros of criterion generate functions without documentation.
 
 use beaconshore::interface::*;
 use beaconshore_steering::{Plans, Steering};
@@ -10,8 +11,8 @@
 
 const MS: Micros = 1_000;
 const START: Micros = 1_000_000_000;
-/// Requests between two rings of the timer: 270 a second.
-const PER_TICK: u64 = 3;
+/// Requests between two timer events. At 3.7 ms between requests, 270 a second, that is one every 11 ms.
+const REQUESTS_PER_TIMER_EVENT: u64 = 3;
 
 fn settings() -> Settings {
     let class = |consistency, effect, aim| Class {
@@ -49,16 +50,17 @@
     }
 }
 
-struct Stage {
+/// A router with members that answer at once.
+struct Fixture {
     steering: Steering,
     groups: u32,
     now: Micros,
-    next: u64,
+    last_request_id: u64,
     actions: Vec<Action>,
 }
 
-impl Stage {
-    fn new(members: u32, policy: Option<Policy>) -> Stage {
+impl Fixture {
+    fn new(members: u32, policy: Option<Policy>) -> Fixture {
         let mut steering = Steering::new(settings(), Plans { zones: policy, ..Plans::default() }, 7, START);
         let entry = |m: u32| Entry {
             member: MemberId(m),
@@ -71,14 +73,14 @@
         let entries: Vec<Entry> = (0..members).map(entry).collect();
         let mut actions = Vec::new();
         steering.handle(START, &Event::List(ListKind::Cached, &entries), &mut actions);
-        let mut stage = Stage { steering, groups: members / 3, now: START, next: 0, actions };
-        stage.settle();
-        (0..members).for_each(|_| stage.request());
-        stage
+        let mut fixture = Fixture { steering, groups: members / 3, now: START, last_request_id: 0, actions };
+        fixture.answer_all();
+        (0..members).for_each(|_| fixture.request());
+        fixture
     }
 
-    /// Answers all probes and attempts that are out.
-    fn settle(&mut self) {
+    /// Answers all attempts and probes that are in flight.
+    fn answer_all(&mut self) {
         for action in std::mem::take(&mut self.actions) {
             match action {
                 Action::Send { request, member, .. } => {
@@ -112,22 +114,22 @@
     }
 
     fn request(&mut self) {
-        self.next += 1;
+        self.last_request_id += 1;
         self.now += 3_700;
-        if self.next.is_multiple_of(PER_TICK) {
+        if self.last_request_id.is_multiple_of(REQUESTS_PER_TIMER_EVENT) {
             self.steering.handle(self.now, &Event::Timer, &mut self.actions);
         }
         let request = Event::Request(Request {
-            id: RequestId(self.next),
-            class: usize::from(self.next.is_multiple_of(7)),
-            group: GroupId((self.next * 7 % u64::from(self.groups)) as u32),
+            id: RequestId(self.last_request_id),
+            class: usize::from(self.last_request_id.is_multiple_of(7)),
+            group: GroupId((self.last_request_id * 7 % u64::from(self.groups)) as u32),
             session: None,
             budget: 2_000 * MS,
             repeat: false,
             last_write_ago: None,
         });
         self.steering.handle(self.now, &request, &mut self.actions);
-        self.settle();
+        self.answer_all();
     }
 }
 
@@ -142,16 +144,16 @@
     Policy { zones: vec![zone(0), zone(1), zone(2)], ..Policy::default() }
 }
 
-fn cost(criterion: &mut Criterion) {
+fn request_cost(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("request");
     for members in [12, 120, 1_200] {
         for (name, policy) in [("zones off", None), ("zones on", Some(policy()))] {
-            let mut stage = Stage::new(members, policy);
-            group.bench_function(BenchmarkId::new(name, members), |b| b.iter(|| stage.request()));
+            let mut fixture = Fixture::new(members, policy);
+            group.bench_function(BenchmarkId::new(name, members), |b| b.iter(|| fixture.request()));
         }
     }
     group.finish();
 }
 
-criterion_group!(benches, cost);
+criterion_group!(benches, request_cost);
 criterion_main!(benches);
--- a/crates/steering/src/lib.rs
+++ b/crates/steering/src/lib.rs
@@ -1,7 +1,8 @@
-//! The decision module and its planners as one value without I/O: events in, actions out. Owns both, and the
-//! order in which they hear of things; decides nothing itself. Driver, emulator and fronts use it alike.
+//! The decision module and its planners (of zones and of routes) as one value without I/O: it takes events
+//! and returns actions. It owns the module and the planners and fixes the order in which they handle an
+//! event, but makes no decisions of its own. The driver and the emulator both use it.
 //!
-//! Without planners it hands events through: the same actions for the same events as the module alone.
+//! Without planners it passes events through: it returns the same actions as the decision module alone.
 
 use std::net::IpAddr;
 
@@ -14,80 +15,88 @@
 use beaconshore_zones::planner::ZoneStatus;
 use beaconshore_zones::Planner;
 
-/// What operators say; the default plans nothing.
+/// The policies of the planners, as operators state them. The default has no planners.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plans {
-    /// Of zones.
+    /// The policy of the zone planner; none: zones are not planned for.
     pub zones: Option<beaconshore_zones::Policy>,
-    /// Of routes.
+    /// The policy of the routes; none: no request is limited by a route.
     pub routes: Option<beaconshore_routes::Policy>,
-    /// Names of the classes, by index: routes go by them.
+    /// Names of the request classes, by index; conditions of routes refer to them.
     pub classes: Vec<String>,
 }
 
-/// What a front knows of a request's connection.
+/// What is known of the client connection that a request came on. Conditions of routes can refer to it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Connection<'a> {
-    /// Its client's address.
+    /// The address of the client.
     pub client: Option<IpAddr>,
-    /// Its user, as its client says.
+    /// The user name that the client has given.
     pub user: &'a str,
-    /// Its database.
+    /// The database that the client has named.
     pub database: &'a str,
 }
 
-/// A router with its planners.
+/// The decision module of one router with its planners.
 pub struct Steering {
     router: Router,
-    zones: Option<Planner>,
-    /// Where operators say something of routes.
-    routes: Option<Director>,
+    zone_planner: Option<Planner>,
+    director: Option<Director>,
     settings: Settings,
-    classes: Vec<String>,
+    class_names: Vec<String>,
     seed: u64,
 }
 
 impl Steering {
-    /// A router that knows nothing but its settings, and plans as its operators say.
+    /// Creates a router with these settings, and planners for the policies that are stated. The seed is for
+    /// random choices.
     pub fn new(settings: Settings, plans: Plans, seed: u64, now: Micros) -> Self {
-        let Plans { zones, routes, classes } = plans;
-        let zones = zones.map(|policy| Planner::new(policy, &settings, now));
-        let routes = routes.map(|policy| Director::new(policy, seed, now));
-        Steering { router: Router::new(settings.clone(), seed, now), zones, routes, settings, classes, seed }
+        let Plans { zones, routes, classes: class_names } = plans;
+        let zone_planner = zones.map(|policy| Planner::new(policy, &settings, now));
+        let director = routes.map(|policy| Director::new(policy, seed, now));
+        Steering {
+            router: Router::new(settings.clone(), seed, now),
+            zone_planner,
+            director,
+            settings,
+            class_names,
+            seed,
+        }
     }
 
-    /// Takes one event and adds what is to be done about it.
+    /// Handles an event and appends the actions that follow from it to `out`.
     pub fn handle(&mut self, now: Micros, event: &Event, out: &mut Vec<Action>) {
-        let Some(routes) = &mut self.routes else { return self.plan(now, event, out) };
+        let Some(director) = &mut self.director else { return self.handle_in_module(now, event, out) };
         match event {
             Event::Request(request) => {
-                let facts = facts(request, &self.settings, &self.classes);
-                let verdict = routes.on_request(request.id, &facts, request.budget, now);
-                self.admit(now, request, verdict, out);
+                let facts = facts(request, &self.settings, &self.class_names);
+                let verdict = director.on_request(request.id, &facts, request.budget, now);
+                self.apply_verdict(now, request, verdict, out);
             }
             Event::AttemptEnded(ended) => {
                 if ended.outcome != Outcome::Served && !ended.finished {
-                    let rest = match routes.on_failed(ended.request, ended.outcome, now) {
+                    let rest = match director.on_failed(ended.request, ended.outcome, now) {
                         Again::At(at) if at <= now => None,
                         Again::At(at) => Some(Event::Rest(ended.request, Some(at))),
                         Again::Never => Some(Event::Rest(ended.request, None)),
                     };
-                    rest.into_iter().for_each(|rest| self.plan(now, &rest, out));
+                    rest.into_iter().for_each(|rest| self.handle_in_module(now, &rest, out));
                 } else {
                     let over = if ended.outcome == Outcome::Served { Over::Served } else { Over::Unserved };
-                    routes.on_over(ended.request, over, now);
+                    director.on_over(ended.request, over, now);
                 }
-                self.plan(now, event, out);
+                self.handle_in_module(now, event, out);
             }
             Event::HungUp(request) => {
-                routes.on_over(*request, Over::Left, now);
-                self.plan(now, event, out);
+                director.on_over(*request, Over::Left, now);
+                self.handle_in_module(now, event, out);
             }
-            _ => self.plan(now, event, out),
+            _ => self.handle_in_module(now, event, out),
         }
     }
 
-    /// Takes a request whose front knows more of it than the event holds: its connection and its statement.
+    /// Handles a new request whose connection and statement are known, which an [`Event::Request`] does not
+    /// carry, and appends the actions that follow from it to `out`.
     pub fn request(
         &mut self,
         now: Micros,
@@ -96,109 +105,117 @@
         statement: &str,
         out: &mut Vec<Action>,
     ) {
-        let Some(routes) = &mut self.routes else {
-            return self.plan(now, &Event::Request(request.clone()), out);
+        let Some(director) = &mut self.director else {
+            return self.handle_in_module(now, &Event::Request(request.clone()), out);
         };
         let Connection { client, user, database } = connection;
         let facts =
-            Facts { client, user, database, statement, ..facts(request, &self.settings, &self.classes) };
-        let verdict = routes.on_request(request.id, &facts, request.budget, now);
-        self.admit(now, request, verdict, out);
+            Facts { client, user, database, statement, ..facts(request, &self.settings, &self.class_names) };
+        let verdict = director.on_request(request.id, &facts, request.budget, now);
+        self.apply_verdict(now, request, verdict, out);
     }
 
-    /// Whether routes are in force: only then fronts need to tell what they know.
+    /// Whether there are routes. Only then callers need to pass a request's connection and statement.
     pub fn is_routed(&self) -> bool {
-        self.routes.is_some()
+        self.director.is_some()
     }
 
-    fn admit(&mut self, now: Micros, request: &Request, verdict: Verdict, out: &mut Vec<Action>) {
+    /// Passes a request on to the decision module, narrowed by its route, or refuses it.
+    fn apply_verdict(&mut self, now: Micros, request: &Request, verdict: Verdict, out: &mut Vec<Action>) {
         match verdict {
             Verdict::Admit(budget, narrow) => {
                 let request = Request { budget, ..request.clone() };
-                self.plan(now, &Event::Narrowed(request, narrow), out);
+                self.handle_in_module(now, &Event::Narrowed(request, narrow), out);
             }
-            // What never reached the module has not run: trying again is harmless.
+            // The request has not reached the module, so it has not run, and the client may safely send it
+            // again.
             Verdict::TurnAway(_, after) => {
                 let limits = &self.settings.limits;
-                let most = if limits.retry_after { limits.max_retry_after } else { 0 };
-                out.push(Action::Refuse { request: request.id, retry_after: after.min(most) });
+                let max_retry_after = if limits.retry_after { limits.max_retry_after } else { 0 };
+                out.push(Action::Refuse { request: request.id, retry_after: after.min(max_retry_after) });
             }
         }
     }
 
-    /// The planner of zones, and the module.
-    fn plan(&mut self, now: Micros, event: &Event, out: &mut Vec<Action>) {
-        let begun = out.len();
-        match &mut self.zones {
+    /// Lets the zone planner and the decision module handle an event, and tells the director which requests
+    /// are over by that.
+    fn handle_in_module(&mut self, now: Micros, event: &Event, out: &mut Vec<Action>) {
+        let first_new = out.len();
+        match &mut self.zone_planner {
             None => self.router.handle(now, event, out),
-            Some(zones) => {
-                zones.on_event(now, event);
-                // What the list or the clock changes for zones holds for this event already.
+            Some(zone_planner) => {
+                zone_planner.on_event(now, event);
+                // Advice that follows from the passing of time has to reach the module before it handles the
+                // timer. Advice that follows from a list is given after it, still within the same event.
                 if matches!(event, Event::Timer) {
-                    Self::advise(&mut self.router, zones, now, out);
+                    Self::advise(&mut self.router, zone_planner, now, out);
                 }
-                let from = out.len();
+                let first_of_event = out.len();
                 self.router.handle(now, event, out);
-                zones.on_actions(now, &out[from..], |class| self.router.work(class));
+                zone_planner.on_actions(now, &out[first_of_event..], |class| self.router.work(class));
                 if matches!(event, Event::List(..)) {
-                    Self::advise(&mut self.router, zones, now, out);
+                    Self::advise(&mut self.router, zone_planner, now, out);
                 }
             }
         }
-        if let Some(routes) = &mut self.routes {
-            for action in &out[begun..] {
+        if let Some(director) = &mut self.director {
+            for action in &out[first_new..] {
                 if let Action::Refuse { request, .. } | Action::Fail(request) = action {
-                    routes.on_over(*request, Over::Unserved, now);
+                    director.on_over(*request, Over::Unserved, now);
                 }
             }
         }
     }
 
-    fn advise(router: &mut Router, zones: &mut Planner, now: Micros, out: &mut Vec<Action>) {
-        let (advice, due) = zones.advise(now);
+    /// Passes new advice of the zone planner to the decision module, and appends the planner's own actions
+    /// and log lines to `out`.
+    fn advise(router: &mut Router, zone_planner: &mut Planner, now: Micros, out: &mut Vec<Action>) {
+        let (advice, due) = zone_planner.advise(now);
         out.extend(due);
         if let Some(advice) = advice {
-            let from = out.len();
+            let first_of_advice = out.len();
             router.handle(now, &Event::Advice(&advice), out);
-            zones.on_actions(now, &out[from..], |class| router.work(class));
+            zone_planner.on_actions(now, &out[first_of_advice..], |class| router.work(class));
         }
-        out.extend(zones.take_log_lines().into_iter().map(Action::Log));
+        out.extend(zone_planner.take_log_lines().into_iter().map(Action::Log));
     }
 
-    /// New routes take the place of those in force, as a whole; requests that were taken go on by the old ones.
+    /// Replaces all routes at once. Requests that have already been admitted keep the limits of the old
+    /// routes.
     pub fn reload_routes(&mut self, policy: Option<beaconshore_routes::Policy>, now: Micros) {
-        match (&mut self.routes, policy) {
-            (Some(routes), Some(policy)) => routes.reload(policy, now),
-            (routes, policy) => *routes = policy.map(|policy| Director::new(policy, self.seed, now)),
+        match (&mut self.director, policy) {
+            (Some(director), Some(policy)) => director.reload(policy, now),
+            (director, policy) => *director = policy.map(|policy| Director::new(policy, self.seed, now)),
         }
     }
 
-    /// Asked where a send had to wait: whether it may still go out.
+    /// Returns whether an attempt that had to wait for its connection may still be sent to the member.
     pub fn confirm(&mut self, now: Micros, request: RequestId, to: MemberId) -> bool {
         self.router.confirm(now, request, to)
     }
 
-    /// Zones as they stand; empty without planners.
+    /// Returns the status of all zones; empty without a zone planner.
     pub fn zones(&mut self, now: Micros) -> Vec<ZoneStatus> {
-        self.zones.as_mut().map_or_else(Vec::new, |zones| zones.status(now))
+        self.zone_planner.as_mut().map_or_else(Vec::new, |planner| planner.status(now))
     }
 
-    /// What each route did, by name; empty without any.
-    pub fn routes(&self) -> Vec<(&str, Counts)> {
-        self.routes.as_ref().map_or_else(Vec::new, Director::counts)
+    /// Returns the counters of each route by name; empty without routes.
+    pub fn route_counts(&self) -> Vec<(&str, Counts)> {
+        self.director.as_ref().map_or_else(Vec::new, Director::counts)
     }
 
-    /// The sizes of the planners' tables: members, groups, requests.
-    pub fn planned(&self) -> Option<(usize, usize, usize)> {
-        self.zones.as_ref().map(Planner::table_sizes)
+    /// Returns the sizes of the zone planner's tables (members, groups, requests); none without a zone
+    /// planner.
+    pub fn zone_table_sizes(&self) -> Option<(usize, usize, usize)> {
+        self.zone_planner.as_ref().map(Planner::table_sizes)
     }
 
-    /// Requests that routes follow.
-    pub fn routed(&self) -> usize {
-        self.routes.as_ref().map_or(0, Director::held)
+    /// Returns the number of open requests that belong to a route.
+    pub fn routed_requests(&self) -> usize {
+        self.director.as_ref().map_or(0, Director::held)
     }
 
-    /// The sizes of the router's tables.
+    /// Returns the sizes of the decision module's tables.
     pub fn sizes(&self) -> Sizes {
         self.router.sizes()
     }
--- a/crates/steering/tests/passes_through.rs
+++ b/crates/steering/tests/passes_through.rs
@@ -1,4 +1,4 @@
-//! The composition beside the module alone, over the same random events.
+//! Compares the composition with the decision module alone, on the same random events.
 
 use beaconshore::interface::*;
 use beaconshore::Router;
@@ -46,20 +46,21 @@
     }
 }
 
-struct Dice(u64);
+/// An xorshift generator: the same seed gives the same numbers.
+struct TestRandom(u64);
 
-impl Dice {
-    fn roll(&mut self, below: u64) -> u64 {
+impl TestRandom {
+    fn below(&mut self, bound: u64) -> u64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
         self.0 ^= self.0 << 17;
-        self.0 % below
+        self.0 % bound
     }
 }
 
-/// Members of two groups in three zones.
-fn entries(dice: &mut Dice) -> Vec<Entry> {
-    let listed = |dice: &mut Dice| match dice.roll(12) {
+/// Returns a complete list of eight members of two groups in three zones, in random states.
+fn random_list(random: &mut TestRandom) -> Vec<Entry> {
+    let listed = |random: &mut TestRandom| match random.below(12) {
         0 => Listed::Draining,
         1 => Listed::Gone,
         _ => Listed::Ready,
@@ -69,45 +70,47 @@
             member: MemberId(m),
             group: GroupId(m % 2),
             zone: ZoneId((m / 2 % 3) as u16),
-            listed: listed(dice),
+            listed: listed(random),
             started: None,
             primary: m < 2,
         })
         .collect()
 }
 
-/// Plays random events on the first, and each of them on the second as well; yields both's actions.
-fn play(
+/// Generates random events that fit the actions of the router under test. `handle` is that router; `check`
+/// gets each event with the actions that `handle` returned for it.
+fn run_random_events(
     seed: u64,
-    mut first: impl FnMut(Micros, &Event) -> Vec<Action>,
-    mut each: impl FnMut(Micros, &Event, &[Action]),
+    mut handle: impl FnMut(Micros, &Event) -> Vec<Action>,
+    mut check: impl FnMut(Micros, &Event, &[Action]),
 ) {
-    let (mut dice, mut now, mut next) = (Dice(seed * 2 + 1), START, 1);
-    let (mut out, mut probes): (Vec<(RequestId, MemberId, Micros)>, Vec<MemberId>) = Default::default();
-    let first_list = entries(&mut Dice(1));
-    let mut list = Some((ListKind::Cached, first_list));
+    let (mut random, mut now, mut last_request_id) = (TestRandom(seed * 2 + 1), START, 1);
+    let (mut attempts, mut probes): (Vec<(RequestId, MemberId, Micros)>, Vec<MemberId>) = Default::default();
+    let first_list = random_list(&mut TestRandom(1));
+    let mut next_list = Some((ListKind::Cached, first_list));
     for _ in 0..3_000 {
-        now += dice.roll(8) * MS;
+        now += random.below(8) * MS;
         let (entries, kind);
-        let event = if let Some((k, e)) = list.take() {
+        let event = if let Some((k, e)) = next_list.take() {
             (kind, entries) = (k, e);
             Event::List(kind, &entries)
         } else {
-            match dice.roll(10) {
+            match random.below(10) {
                 0..=3 => {
-                    next += 1;
+                    last_request_id += 1;
                     Event::Request(Request {
-                        id: RequestId(next),
-                        class: dice.roll(3) as usize,
-                        group: GroupId(dice.roll(2) as u32),
+                        id: RequestId(last_request_id),
+                        class: random.below(3) as usize,
+                        group: GroupId(random.below(2) as u32),
                         session: None,
                         budget: 1_000 * MS,
-                        repeat: dice.roll(4) == 0,
+                        repeat: random.below(4) == 0,
                         last_write_ago: None,
                     })
                 }
-                4..=6 if !out.is_empty() => {
-                    let (request, member, sent) = out.swap_remove(dice.roll(out.len() as u64) as usize);
+                4..=6 if !attempts.is_empty() => {
+                    let (request, member, sent) =
+                        attempts.swap_remove(random.below(attempts.len() as u64) as usize);
                     let outcomes = [
                         Outcome::Served,
                         Outcome::Served,
@@ -116,35 +119,35 @@
                         Outcome::Misplaced,
                         Outcome::Unreachable,
                     ];
-                    let outcome = outcomes[dice.roll(6) as usize];
+                    let outcome = outcomes[random.below(6) as usize];
                     let role = if member.0 < 2 { Role::Primary } else { Role::Replica };
                     Event::AttemptEnded(Ended {
                         request,
                         member,
                         outcome,
-                        note: Note { position: Some(now - dice.roll(300) * MS), role: Some(role) },
+                        note: Note { position: Some(now - random.below(300) * MS), role: Some(role) },
                         took: now - sent,
                         finished: outcome == Outcome::Served,
                         report: Report::default(),
                     })
                 }
                 7 if !probes.is_empty() => {
-                    let outcome = if dice.roll(5) == 0 { Outcome::TimedOut } else { Outcome::Served };
-                    let report = Report { position: Some(now - dice.roll(300) * MS), ..Report::default() };
+                    let outcome = if random.below(5) == 0 { Outcome::TimedOut } else { Outcome::Served };
+                    let report = Report { position: Some(now - random.below(300) * MS), ..Report::default() };
                     Event::ProbeEnded { member: probes.swap_remove(0), outcome, report }
                 }
-                8 if dice.roll(20) == 0 => {
-                    list = Some((ListKind::Full, self::entries(&mut dice)));
+                8 if random.below(20) == 0 => {
+                    next_list = Some((ListKind::Full, self::random_list(&mut random)));
                     continue;
                 }
                 _ => Event::Timer,
             }
         };
-        let actions = first(now, &event);
-        each(now, &event, &actions);
+        let actions = handle(now, &event);
+        check(now, &event, &actions);
         for action in actions {
             match action {
-                Action::Send { request, member, .. } => out.push((request, member, now)),
+                Action::Send { request, member, .. } => attempts.push((request, member, now)),
                 Action::Probe(member) => probes.push(member),
                 _ => {}
             }
@@ -152,18 +155,19 @@
     }
 }
 
+/// Guards against a composition that changes decisions though operators have stated nothing to plan by.
 #[test]
-fn without_planners_it_acts_as_the_module_alone() {
+fn composition_without_planners_acts_like_the_module_alone() {
     for seed in 0..20 {
         let mut router = Router::new(settings(), seed, START);
         let mut steering = Steering::new(settings(), Plans::default(), seed, START);
-        let alone = |now: Micros, event: &Event| {
+        let module_alone = |now: Micros, event: &Event| {
             let mut actions = Vec::new();
             router.handle(now, event, &mut actions);
             actions
         };
         let mut compared = 0;
-        play(seed, alone, |now, event, expected| {
+        run_random_events(seed, module_alone, |now, event, expected| {
             let mut actions = Vec::new();
             steering.handle(now, event, &mut actions);
             assert_eq!(actions, expected, "seed {seed}, {event:?}");
@@ -174,8 +178,9 @@
     }
 }
 
+/// Guards against a leak: the zone planner must not keep requests that the decision module has finished.
 #[test]
-fn planners_give_back_what_they_hold() {
+fn zone_planner_keeps_no_more_requests_than_the_module() {
     for seed in 0..10 {
         let mut steering = Steering::new(
             settings(),
@@ -183,24 +188,24 @@
             seed,
             START,
         );
-        let mut last = START;
-        let mut held = 0;
-        let first = |now: Micros, event: &Event| {
+        let mut last_event_at = START;
+        let mut max_requests = 0;
+        let handle = |now: Micros, event: &Event| {
             let mut actions = Vec::new();
             steering.handle(now, event, &mut actions);
-            last = now;
-            held = held.max(steering.sizes().requests);
+            last_event_at = now;
+            max_requests = max_requests.max(steering.sizes().requests);
             actions
         };
-        play(seed, first, |_, _, _| {});
-        // Every request's time passes; attempts that are out end with it.
+        run_random_events(seed, handle, |_, _, _| {});
+        // Time passes until the budget of every request is over, which ends its attempts too.
         let mut actions = Vec::new();
         for _ in 0..300 {
-            last += 10 * MS;
-            steering.handle(last, &Event::Timer, &mut actions);
+            last_event_at += 10 * MS;
+            steering.handle(last_event_at, &Event::Timer, &mut actions);
         }
-        assert!(held > 0);
-        let (_, groups, requests) = steering.planned().unwrap();
+        assert!(max_requests > 0);
+        let (_, groups, requests) = steering.zone_table_sizes().unwrap();
         assert!(groups <= 2 && requests <= steering.sizes().requests, "{groups} groups, {requests} requests");
     }
 }
--- a/crates/zones/src/planner.rs
+++ b/crates/zones/src/planner.rs
@@ -22,8 +22,8 @@
 const HOME_MEMORY_MICROS: Micros = 600_000_000;
 /// Shortest time between two probes of the same member in a zone that is not healthy, in microseconds.
 const PROBE_INTERVAL_MICROS: Micros = 500_000;
-/// The probe interval holds for up to this many routers. It grows in proportion to their number, so that
-/// members do not get busy with answers to probes.
+/// The probe interval is multiplied by the number of routers divided by this (rounded down, at least 1), so
+/// that members of a store with many routers do not get busy with answers to probes.
 const ROUTERS_PER_PROBE_INTERVAL: u32 = 16;
 /// Number of members of a zone that are probed in a round at most, however large the zone is.
 const MAX_PROBES_PER_ROUND: usize = 4;
--- a/crates/zones/tests/evidence.rs
+++ b/crates/zones/tests/evidence.rs
@@ -35,7 +35,7 @@
 struct Fixture {
     planner: Planner,
     now: Micros,
-    next_request_id: u64,
+    last_request_id: u64,
     /// The latest advice on each zone.
     zone_advice: Vec<ZoneWord>,
     homes: Vec<(GroupId, u16)>,
@@ -50,7 +50,7 @@
     let mut fixture = Fixture {
         planner: Planner::new(policy, &settings, START),
         now: START,
-        next_request_id: 0,
+        last_request_id: 0,
         zone_advice: Vec::new(),
         homes: Vec::new(),
         probes: 0,
@@ -76,8 +76,8 @@
 impl Fixture {
     /// Sends a request's attempt to a member and ends it at once with this outcome.
     fn attempt(&mut self, member: u32, outcome: Outcome) {
-        self.next_request_id += 1;
-        let (id, now) = (RequestId(self.next_request_id), self.now);
+        self.last_request_id += 1;
+        let (id, now) = (RequestId(self.last_request_id), self.now);
         let request = Request {
             id,
             class: 0,
@@ -182,8 +182,8 @@
     let mut fixture = new_fixture(Policy::default());
     fixture.now += MS;
     for m in [2, 5, 8] {
-        fixture.next_request_id += 1;
-        let send = Action::Send { request: RequestId(fixture.next_request_id), member: MemberId(m), wait: 0 };
+        fixture.last_request_id += 1;
+        let send = Action::Send { request: RequestId(fixture.last_request_id), member: MemberId(m), wait: 0 };
         fixture.planner.on_actions(fixture.now, &[send], |_| 40_000.0);
     }
     fixture.advance(1_000 * MS, |m| (m % 3 != 2).then_some(Outcome::Served));
