--- a/crates/zones/src/lend.rs
+++ b/crates/zones/src/limit_loans.rs
@@ -7,7 +7,7 @@
 
 use beaconshore::interface::Micros;
 
-use crate::window::WINDOW_MICROS;
+use crate::sliding_window::WINDOW_MICROS;
 
 /// Duration of a loan, in microseconds; the borrower asks again while it needs more.
 pub const LOAN_MICROS: Micros = 2_000_000;
@@ -107,7 +107,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::spill::SpillLimiter;
+    use crate::spill_limit::SpillLimiter;
 
     /// An xorshift generator: the same seed gives the same numbers.
     struct TestRandom(u64);
--- a/crates/zones/src/planner.rs
+++ b/crates/zones/src/planner.rs
@@ -9,13 +9,13 @@
     RequestId, Role, Settings, Spill, SpillLoan, ZoneId, ZoneWord,
 };
 
-use crate::evidence::{HealthTracker, MemberHealth, ZoneHealth, ZoneVerdict};
+use crate::health::{HealthTracker, MemberHealth, ZoneHealth, ZoneVerdict};
 use crate::policy::Policy;
-use crate::ramp::STEP_SHARES;
-use crate::spill::{allocate, ClassDemand, SpillDemand, SpillLimiter, ROUND_MICROS};
-use crate::state::{ZoneChange, ZonePhase, ZoneState};
-use crate::tiers::ZoneOrder;
-use crate::window::WINDOW_MICROS;
+use crate::ramp_up::STEP_SHARES;
+use crate::sliding_window::WINDOW_MICROS;
+use crate::spill_limit::{allocate, ClassDemand, SpillDemand, SpillLimiter, ROUND_MICROS};
+use crate::zone_order::ZoneOrder;
+use crate::zone_state::{ZoneChange, ZonePhase, ZoneState};
 
 /// A group still counts as having a member in a zone for this long after the list last named it there, in
 /// microseconds, because the members of a lost zone leave the list.
--- a/crates/zones/src/ramp.rs
+++ b/crates/zones/src/ramp_up.rs
@@ -3,7 +3,7 @@
 
 use beaconshore::interface::{Micros, RuleFigures};
 
-use crate::evidence::ZoneHealth;
+use crate::health::ZoneHealth;
 use crate::policy::Policy;
 
 /// Share of the reads that would normally go to the zone, by step. The first step is a few requests per
--- a/crates/zones/src/spill.rs
+++ b/crates/zones/src/spill_limit.rs
@@ -5,8 +5,8 @@
 
 use beaconshore::interface::Micros;
 
-use crate::lend::LimitPart;
-use crate::window::{SlidingWindow, WINDOW_MICROS};
+use crate::limit_loans::LimitPart;
+use crate::sliding_window::{SlidingWindow, WINDOW_MICROS};
 
 /// Weight of the latest round's demand in the moving average.
 const DEMAND_SMOOTHING: f64 = 0.1;
--- a/crates/zones/src/state.rs
+++ b/crates/zones/src/zone_state.rs
@@ -4,9 +4,9 @@
 
 use beaconshore::interface::Micros;
 
-use crate::evidence::{ZoneHealth, ZoneVerdict};
+use crate::health::{ZoneHealth, ZoneVerdict};
 use crate::policy::Policy;
-use crate::ramp::{RampDecision, RampUp, StepDownReason};
+use crate::ramp_up::{RampDecision, RampUp, StepDownReason};
 
 /// Number of losses that are remembered. More would not lengthen a ramp-up any further, because a policy
 /// allows 10 doublings at most.
--- a/crates/zones/tests/way_back.rs
+++ b/crates/zones/tests/ramp_up.rs
@@ -2,10 +2,10 @@
 //! what takes it back to an earlier one, and how often the state may change.
 
 use beaconshore::interface::{Micros, RuleFigures};
-use beaconshore_zones::evidence::{ZoneHealth, ZoneVerdict};
+use beaconshore_zones::health::{ZoneHealth, ZoneVerdict};
 use beaconshore_zones::policy::Policy;
-use beaconshore_zones::ramp::{RampDecision, RampUp, StepDownReason, STEP_SHARES};
-use beaconshore_zones::state::{ZoneChange, ZonePhase, ZoneState};
+use beaconshore_zones::ramp_up::{RampDecision, RampUp, StepDownReason, STEP_SHARES};
+use beaconshore_zones::zone_state::{ZoneChange, ZonePhase, ZoneState};
 
 const SECOND: Micros = 1_000_000;
 const START: Micros = 1_000 * SECOND;
