--- a/crates/zones/src/health.rs
+++ b/crates/zones/src/health.rs
@@ -5,9 +5,10 @@
 
 use beaconshore::interface::{Entry, GroupId, Listed, MemberId, Micros, Outcome, RequestId, ZoneId};
 
-/// An attempt is overdue after this multiple of its zone's usual latency...
+/// An attempt is overdue after this multiple of its zone's usual latency, or after [`MIN_OVERDUE_MICROS`] if
+/// that is longer.
 const OVERDUE_LATENCY_MULTIPLE: f64 = 4.0;
-/// ...but not before this time, in microseconds.
+/// Shortest time after which an attempt is overdue, in microseconds.
 const MIN_OVERDUE_MICROS: Micros = 200_000;
 /// Weight of a new sample in the moving average of a zone's latency.
 const LATENCY_SMOOTHING: f64 = 0.05;
@@ -72,8 +73,8 @@
     }
 }
 
-/// What the members of a zone show at one moment. Each member counts once, because each is reached on its own
-/// connections.
+/// What the members of a zone show at one moment. Each member counts once, however many attempts at it fail,
+/// because each is reached by a network path of its own.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ZoneHealth {
     /// Members with a record (listed now or until recently) that have answered this router at least once.
--- a/crates/zones/src/planner.rs
+++ b/crates/zones/src/planner.rs
@@ -94,7 +94,8 @@
 pub struct Planner {
     policy: Policy,
     settings: Settings,
-    /// The strictest staleness bound of any class; positions within it count as fresh.
+    /// The strictest staleness bound of any class, 1 s without such a class. Positions within it count as
+    /// fresh.
     staleness_bound: Micros,
     health: HealthTracker,
     zone_order: ZoneOrder,
--- a/crates/zones/src/policy.rs
+++ b/crates/zones/src/policy.rs
@@ -79,14 +79,14 @@
 
 /// An invalid value in a policy.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct PolicyError {
     /// The field as the operator's file names it, for example `zones[1].prefer`.
     pub field: String,
     /// What is wrong with the value, and which values are valid.
     pub reason: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for PolicyError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}: {}", self.field, self.reason)
     }
@@ -94,8 +94,8 @@
 
 impl Policy {
     /// Validates the policy, and returns the first invalid value as an error.
-    pub fn check(&self) -> Result<(), Fault> {
-        let invalid = |field: String, reason: String| Err(Fault { field, reason });
+    pub fn check(&self) -> Result<(), PolicyError> {
+        let invalid = |field: String, reason: String| Err(PolicyError { field, reason });
         if self.zones.len() > MAX_ZONES {
             return invalid("zones".into(), format!("{} zones, {MAX_ZONES} at most", self.zones.len()));
         }
