--- a/crates/routes/src/director.rs
+++ b/crates/routes/src/director.rs
@@ -1,4 +1,5 @@
-//! The director: finds each request's route, admits it or turns it away, and says what may follow an attempt.
+//! Applies a policy of routes to the requests of one router: finds each request's route, admits or rejects the request,
+//! and decides whether and when a failed attempt may be retried.
 
 use std::collections::BTreeMap;
 
@@ -6,135 +7,142 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::concurrency::{Concurrency, End};
+use crate::concurrency_limit::{ConcurrencyLimit, LoadSample};
 use crate::expression::Facts;
-use crate::fair::Fair;
 use crate::policy::{Pause, Policy, Route};
-use crate::rate::Rate;
-use crate::repeats::Repeats;
-use crate::table::Table;
+use crate::rate_limit::RouteRateLimiter;
+use crate::retry_budget::RetryBudget;
+use crate::route_index::RouteIndex;
+use crate::weighted_shares::WeightedShares;
 
-/// A client that is turned away for want of room is to come back after this, in microseconds.
-const COME_BACK: Micros = 250_000;
-/// Requests that are followed at once; further ones are not narrowed, and counted.
-const MOST_REQUESTS: usize = 65_536;
-/// A pause grows up to so many times the one before.
-const GROWTH: u64 = 3;
+/// Delay after which a client may come back if a concurrency limit rejected its request, in microseconds.
+const RETRY_AFTER_US: Micros = 250_000;
+/// Maximum number of requests that are tracked at once. Further requests are admitted without a route: they are neither
+/// narrowed nor counted.
+const MAX_TRACKED_REQUESTS: usize = 65_536;
+/// Maximum ratio of a retry's delay to the delay before it.
+const BACKOFF_GROWTH: u64 = 3;
 
-/// Why a request was turned away.
+/// The limit that rejected a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Cause {
-    /// The route's rate.
+    /// The route's limit on the rate of first attempts.
     Rate,
-    /// The route's limit on open requests.
+    /// The route's limit on requests in flight.
     Open,
-    /// The common limit on open requests.
+    /// The limit on requests in flight that all routes share.
     Share,
 }
 
-/// What becomes of a request.
+/// Decision on a new request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
-    /// It goes on with this much time, narrowed so.
+    /// The request is admitted with this much time, in microseconds, and with these restrictions.
     Admit(Micros, Narrow),
-    /// It is refused at once: why, and when to come back.
+    /// The request is rejected at once, by this limit. The client may come back after this time, in microseconds.
     TurnAway(Cause, Micros),
 }
 
-/// What may follow a failed attempt.
+/// Decision on a retry after a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Again {
-    /// Another, not before this time.
+    /// A retry is allowed, but not before this time.
     At(Micros),
-    /// None: the budget for repeats is used up.
+    /// No retry is allowed: the route's retry budget is used up.
     Never,
 }
 
-/// What a route did so far.
+/// Counters of one route since the router started. Reloads keep them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Requests that took it.
+    /// Requests that matched the route, including those that it rejected.
     pub taken: u64,
-    /// Turned away, by cause.
+    /// Requests rejected by the route's rate limit.
     pub rate: u64,
-    /// By its own limit.
+    /// Requests rejected by the route's own concurrency limit.
     pub open: u64,
-    /// By the common limit.
+    /// Requests rejected by the concurrency limit that all routes share.
     pub share: u64,
-    /// Repeats allowed.
+    /// Retries allowed.
     pub again: u64,
-    /// Repeats denied by the budget.
+    /// Retries denied by the retry budget.
     pub denied: u64,
 }
 
-struct State {
+struct RouteState {
     route: Route,
-    rate: Option<Rate>,
-    open: Option<Concurrency>,
-    repeats: Option<Repeats>,
+    rate_limiter: Option<RouteRateLimiter>,
+    concurrency: Option<ConcurrencyLimit>,
+    retry_budget: Option<RetryBudget>,
     counts: Counts,
 }
 
-struct Held {
+struct TrackedRequest {
     route: usize,
-    since: Micros,
-    /// The last pause.
-    pause: Micros,
-    tried: bool,
+    admitted_at: Micros,
+    /// Delay before the last retry, in microseconds.
+    last_delay: Micros,
+    /// Whether an attempt failed in a way that says something of the load.
+    was_attempted: bool,
 }
 
-/// Directs the requests of one router.
+/// Applies the routes of a policy to the requests of one router.
 pub struct Director {
     routes: Vec<Route>,
-    states: Vec<State>,
-    table: Table,
-    fair: Option<Fair>,
-    held: BTreeMap<RequestId, Held>,
+    states: Vec<RouteState>,
+    index: RouteIndex,
+    shares: Option<WeightedShares>,
+    tracked: BTreeMap<RequestId, TrackedRequest>,
     random: ChaCha8Rng,
 }
 
 impl Director {
-    /// One for a policy that was checked; the seed is for pauses.
+    /// Creates a director for a policy that [`Policy::findings`] found to be valid. The seed is for the random delays
+    /// of retries.
     pub fn new(policy: Policy, seed: u64, now: Micros) -> Self {
-        let table = Table::new(&policy.routes);
-        let fair = policy.open.map(|limit| Fair::new(limit, policy.routes.iter().map(|r| r.weight)));
-        let state = |route: &Route| State {
-            rate: route.rate.map(|r| Rate::new(r.per_second, r.burst, now)),
-            open: route.open.map(|o| Concurrency::new(o.least, o.most, o.tolerance)),
-            repeats: route.repeats.map(|(share, floor)| Repeats::new(share, floor, now)),
+        let index = RouteIndex::new(&policy.routes);
+        let shares =
+            policy.open.map(|limit| WeightedShares::new(limit, policy.routes.iter().map(|r| r.weight)));
+        let state = |route: &Route| RouteState {
+            rate_limiter: route.rate.map(|r| RouteRateLimiter::new(r.per_second, r.burst, now)),
+            concurrency: route.open.map(|o| ConcurrencyLimit::new(o.least, o.most, o.tolerance)),
+            retry_budget: route.repeats.map(|(share, floor)| RetryBudget::new(share, floor, now)),
             counts: Counts::default(),
             route: route.clone(),
         };
         let states = policy.routes.iter().map(state).collect();
         let random = ChaCha8Rng::seed_from_u64(seed);
-        Director { routes: policy.routes, states, table, fair, held: BTreeMap::new(), random }
+        Director { routes: policy.routes, states, index, shares, tracked: BTreeMap::new(), random }
     }
 
-    /// A request comes with so much time left to its client.
-    pub fn on_request(&mut self, id: RequestId, facts: &Facts, left: Micros, now: Micros) -> Verdict {
-        let untouched = Verdict::Admit(left, Narrow::default());
-        let Some(index) = self.table.find(&self.routes, facts) else { return untouched };
-        if self.held.len() >= MOST_REQUESTS {
-            return untouched;
+    /// Admits or rejects a new request, whose client waits for `time_left` microseconds more.
+    pub fn on_request(&mut self, id: RequestId, facts: &Facts, time_left: Micros, now: Micros) -> Verdict {
+        let unrestricted = Verdict::Admit(time_left, Narrow::default());
+        let Some(index) = self.index.find(&self.routes, facts) else { return unrestricted };
+        if self.tracked.len() >= MAX_TRACKED_REQUESTS {
+            return unrestricted;
         }
         let state = &mut self.states[index];
         state.counts.taken += 1;
-        if state.open.as_ref().is_some_and(|open| !open.has_room()) {
+        if state.concurrency.as_ref().is_some_and(|limit| !limit.has_capacity()) {
             state.counts.open += 1;
-            return Verdict::TurnAway(Cause::Open, COME_BACK);
+            return Verdict::TurnAway(Cause::Open, RETRY_AFTER_US);
         }
-        // The places are taken in the end only: what is turned away has none to give back.
-        if let Some(Err(wait)) = state.rate.as_mut().map(|rate| rate.admit(now)) {
+        // Slots are taken only after every check has passed, so that a rejected request has none to give back.
+        if let Some(Err(wait)) = state.rate_limiter.as_mut().map(|limiter| limiter.try_admit(now)) {
             state.counts.rate += 1;
             return Verdict::TurnAway(Cause::Rate, wait);
         }
-        if self.fair.as_mut().is_some_and(|fair| !fair.enter(index, now)) {
+        if self.shares.as_mut().is_some_and(|shares| !shares.try_acquire(index, now)) {
             state.counts.share += 1;
-            return Verdict::TurnAway(Cause::Share, COME_BACK);
+            return Verdict::TurnAway(Cause::Share, RETRY_AFTER_US);
         }
-        state.open.iter_mut().for_each(Concurrency::enter);
-        state.repeats.iter_mut().for_each(|repeats| repeats.on_try(now));
-        self.held.insert(id, Held { route: index, since: now, pause: 0, tried: false });
+        state.concurrency.iter_mut().for_each(ConcurrencyLimit::acquire);
+        state.retry_budget.iter_mut().for_each(|budget| budget.record_first_attempt(now));
+        self.tracked.insert(
+            id,
+            TrackedRequest { route: index, admitted_at: now, last_delay: 0, was_attempted: false },
+        );
         let route = &state.route;
         let zones = route.zones.iter().fold(0_u64, |mask, zone| mask | 1 << u32::from(zone.0).min(63));
         let narrow = Narrow {
@@ -143,113 +151,116 @@
             staleness: route.staleness.unwrap_or(Micros::MAX),
             zones: if route.zones.is_empty() { u64::MAX } else { zones },
         };
-        Verdict::Admit(route.budget.map_or(left, |budget| left.min(budget)), narrow)
+        Verdict::Admit(route.budget.map_or(time_left, |budget| time_left.min(budget)), narrow)
     }
 
-    /// An attempt ended without serving its request: what may follow.
+    /// Decides on a retry after an attempt that ended without serving its request.
     pub fn on_failed(&mut self, id: RequestId, outcome: Outcome, now: Micros) -> Again {
-        let Some(held) = self.held.get_mut(&id) else { return Again::At(now) };
-        // What never left, or was turned away untouched, cost nobody anything.
+        let Some(request) = self.tracked.get_mut(&id) else { return Again::At(now) };
+        // An attempt that was never sent, or that the member rejected without running it, caused no load: its retry is
+        // not charged to the budget. A failed connect is charged.
         if outcome.never_ran() && outcome != Outcome::Unreachable {
             return Again::At(now);
         }
-        held.tried = true;
-        let state = &mut self.states[held.route];
-        if state.repeats.as_mut().is_some_and(|repeats| !repeats.allow(now)) {
+        request.was_attempted = true;
+        let state = &mut self.states[request.route];
+        if state.retry_budget.as_mut().is_some_and(|budget| !budget.try_take_retry(now)) {
             state.counts.denied += 1;
             return Again::Never;
         }
         state.counts.again += 1;
         let Some(Pause { least, most }) = state.route.pause else { return Again::At(now) };
-        let highest = (held.pause.max(least) * GROWTH).min(most).max(least);
-        held.pause = self.random.random_range(least..=highest);
-        Again::At(now + held.pause)
+        let highest = (request.last_delay.max(least) * BACKOFF_GROWTH).min(most).max(least);
+        request.last_delay = self.random.random_range(least..=highest);
+        Again::At(now + request.last_delay)
     }
 
-    /// A request has its final answer, or its client left.
+    /// Gives back the slots of a request that has its final answer or whose client left.
     pub fn on_over(&mut self, id: RequestId, end: Over, now: Micros) {
-        let Some(held) = self.held.remove(&id) else { return };
-        if let Some(fair) = &mut self.fair {
-            fair.leave(held.route);
+        let Some(request) = self.tracked.remove(&id) else { return };
+        if let Some(shares) = &mut self.shares {
+            shares.release(request.route);
         }
-        let end = match end {
-            Over::Served => End::Served(now.saturating_sub(held.since)),
-            Over::Unserved if held.tried => End::Failed,
-            Over::Unserved | Over::Left => End::Other,
+        let sample = match end {
+            Over::Served => LoadSample::Served(now.saturating_sub(request.admitted_at)),
+            Over::Unserved if request.was_attempted => LoadSample::Failed,
+            Over::Unserved | Over::Left => LoadSample::Ignored,
         };
-        self.states[held.route].open.iter_mut().for_each(|open| open.leave(end, now));
+        self.states[request.route].concurrency.iter_mut().for_each(|limit| limit.release(sample, now));
     }
 
-    /// A new policy takes the place of this one, as a whole: limits and counts go on by name where they are the same,
-    /// and open requests keep what they were told at the start.
+    /// Replaces the policy as a whole. A route of the same name keeps its counters, and each limit whose parameters are
+    /// unchanged keeps its state. Requests in flight keep the restrictions that they were admitted with.
     pub fn reload(&mut self, policy: Policy, now: Micros) {
         let mut new = Director::new(policy, self.random.random(), now);
-        let before = std::mem::take(&mut self.states).into_iter().enumerate();
-        let mut before: BTreeMap<String, (usize, State)> =
-            before.map(|(i, state)| (state.route.name.clone(), (i, state))).collect();
-        // Routes that go on: their index now, and whether their limit on open requests goes on with its places.
-        let mut moved: BTreeMap<usize, (usize, bool)> = BTreeMap::new();
+        let old_states = std::mem::take(&mut self.states).into_iter().enumerate();
+        let mut old_states: BTreeMap<String, (usize, RouteState)> =
+            old_states.map(|(i, state)| (state.route.name.clone(), (i, state))).collect();
+        // By the old index of a route that remains: its new index, and whether its concurrency limit is kept together
+        // with the slots that are taken.
+        let mut remaining: BTreeMap<usize, (usize, bool)> = BTreeMap::new();
         for (index, state) in new.states.iter_mut().enumerate() {
-            let Some((was, had)) = before.remove(&state.route.name) else { continue };
-            let same = had.route.open == state.route.open;
-            moved.insert(was, (index, same));
-            state.counts = had.counts;
-            if had.route.rate == state.route.rate {
-                state.rate = had.rate;
+            let Some((old_index, old)) = old_states.remove(&state.route.name) else { continue };
+            let keeps_limit = old.route.open == state.route.open;
+            remaining.insert(old_index, (index, keeps_limit));
+            state.counts = old.counts;
+            if old.route.rate == state.route.rate {
+                state.rate_limiter = old.rate_limiter;
             }
-            if had.route.repeats == state.route.repeats {
-                state.repeats = had.repeats;
+            if old.route.repeats == state.route.repeats {
+                state.retry_budget = old.retry_budget;
             }
-            if same {
-                state.open = had.open;
+            if keeps_limit {
+                state.concurrency = old.concurrency;
             }
         }
-        for (id, held) in std::mem::take(&mut self.held) {
-            // A request whose route is gone goes on by what it was told, and holds no place any more.
-            let Some(&(route, same)) = moved.get(&held.route) else { continue };
-            if !same {
-                new.states[route].open.iter_mut().for_each(Concurrency::enter);
+        for (id, request) in std::mem::take(&mut self.tracked) {
+            // A request whose route was removed keeps its restrictions, but is no longer tracked and holds no slot.
+            let Some(&(route, keeps_limit)) = remaining.get(&request.route) else { continue };
+            if !keeps_limit {
+                new.states[route].concurrency.iter_mut().for_each(ConcurrencyLimit::acquire);
             }
-            new.fair.iter_mut().for_each(|fair| fair.take(route));
-            new.held.insert(id, Held { route, ..held });
+            new.shares.iter_mut().for_each(|shares| shares.acquire(route));
+            new.tracked.insert(id, TrackedRequest { route, ..request });
         }
         *self = new;
     }
 
-    /// What each route did, by name.
+    /// The counters of each route, by the route's name.
     pub fn counts(&self) -> Vec<(&str, Counts)> {
         self.states.iter().map(|s| (s.route.name.as_str(), s.counts)).collect()
     }
 
-    /// Requests that are followed.
+    /// Number of requests that are tracked: admitted by a route and not yet ended.
     pub fn held(&self) -> usize {
-        self.held.len()
+        self.tracked.len()
     }
 
-    /// The route that a request would take.
+    /// The route that a request with these attributes would take, if any.
     pub fn route_of(&self, facts: &Facts) -> Option<&Route> {
-        self.table.find(&self.routes, facts).map(|i| &self.routes[i])
+        self.index.find(&self.routes, facts).map(|i| &self.routes[i])
     }
 }
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Over {
-    /// Served.
+    /// The client got a successful answer.
     Served,
-    /// Refused or failed.
+    /// The request was refused or failed.
     Unserved,
-    /// Its client left.
+    /// The client left before an answer.
     Left,
 }
 
-/// The facts that a request brings by itself; fronts add what they know of its connection.
-pub fn facts<'a>(request: &Request, settings: &Settings, names: &'a [String]) -> Facts<'a> {
-    let keyed = |c: &Class| matches!(c.effect, Effect::Keyed(..));
+/// The attributes that a request itself carries. Protocol front ends add those of its connection and its statement.
+/// `class_names` are the names of the classes, by index.
+pub fn facts<'a>(request: &Request, settings: &Settings, class_names: &'a [String]) -> Facts<'a> {
+    let is_keyed = |c: &Class| matches!(c.effect, Effect::Keyed(..));
     Facts {
-        class: names.get(request.class).map_or("", String::as_str),
+        class: class_names.get(request.class).map_or("", String::as_str),
         group: request.group.0,
-        key: settings.classes.get(request.class).is_some_and(keyed),
+        key: settings.classes.get(request.class).is_some_and(is_keyed),
         session: request.session.is_some(),
         repeat: request.repeat,
         ..Facts::default()
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -1,19 +1,21 @@
-//! Decisions on routes: which one a request takes, whether it is admitted now, how long and how often it may be
-//! tried. Owns every route's limits, budgets and shares, and no more: it chooses no member, sends nothing, and
-//! never reads a clock or a socket. What it says only narrows what the decision module may do.
+//! Decisions on routes: which route a request takes, whether it is admitted now, how much time it gets and how often
+//! it may be retried.
 //!
-//! In the order of a request's life: [`expression`] and [`table`] find its route, [`rate`], [`concurrency`] and
-//! [`fair`] admit it or turn it away, [`repeats`] holds what is tried again to a share, and [`director`] puts these
-//! together. [`policy`] is what operators say, checked.
+//! This crate owns the limits, retry budgets and shares of every route. It chooses no member, sends nothing, and reads
+//! neither a clock nor a socket. Its decisions only narrow what the decision module may do.
+//!
+//! In the order of a request's life: [`expression`] and [`route_index`] find its route; [`rate_limit`],
+//! [`concurrency_limit`] and [`weighted_shares`] admit or reject it; [`retry_budget`] holds retries to a share of first
+//! attempts. [`director`] combines these. [`policy`] holds the operator's configuration and validates it.
 
-pub mod concurrency;
+pub mod concurrency_limit;
 pub mod director;
 pub mod expression;
-pub mod fair;
 pub mod policy;
-pub mod rate;
-pub mod repeats;
-pub mod table;
+pub mod rate_limit;
+pub mod retry_budget;
+pub mod route_index;
+pub mod weighted_shares;
 
 pub use director::Director;
 pub use policy::{Policy, Route};
--- a/crates/routes/src/table.rs
+++ b/crates/routes/src/route_index.rs
@@ -1,50 +1,50 @@
-//! Finds a request's route: the first that matches, looked for among those that its class can take only.
+//! Finds the route of a request: the first that matches, searched only among the routes that its class can match.
 
 use std::collections::BTreeMap;
 
 use crate::expression::Facts;
 use crate::policy::Route;
 
-/// Routes by class, in order.
+/// Routes by request class, in the order of the policy.
 #[derive(Clone, Debug, Default)]
-pub struct Table {
+pub struct RouteIndex {
     by_class: BTreeMap<String, Vec<usize>>,
-    /// Routes that a class named by none may take.
-    others: Vec<usize>,
+    /// Routes that are open to a class that no route names.
+    other_classes: Vec<usize>,
 }
 
-impl Table {
-    /// The index of some routes.
+impl RouteIndex {
+    /// Builds the index of a policy's routes.
     pub fn new(routes: &[Route]) -> Self {
-        let mut table = Table::default();
+        let mut index = RouteIndex::default();
         let named =
             |route: &Route| route.matches.classes().map(|c| c.iter().map(|c| c.to_string()).collect());
         let classes: Vec<Option<Vec<String>>> = routes.iter().map(named).collect();
         for class in classes.iter().flatten().flatten() {
-            table.by_class.entry(class.clone()).or_default();
+            index.by_class.entry(class.clone()).or_default();
         }
         for (i, classes) in classes.iter().enumerate() {
             match classes {
                 Some(classes) => {
-                    for (name, routes) in &mut table.by_class {
+                    for (name, routes) in &mut index.by_class {
                         if classes.contains(name) {
                             routes.push(i);
                         }
                     }
                 }
                 None => {
-                    table.by_class.values_mut().for_each(|routes| routes.push(i));
-                    table.others.push(i);
+                    index.by_class.values_mut().for_each(|routes| routes.push(i));
+                    index.other_classes.push(i);
                 }
             }
         }
-        table
+        index
     }
 
-    /// The first route that a request matches.
+    /// The index of the first route that matches a request. `routes` are those that the index was built from.
     pub fn find(&self, routes: &[Route], facts: &Facts) -> Option<usize> {
-        let among = self.by_class.get(facts.class).unwrap_or(&self.others);
-        among.iter().copied().find(|i| routes[*i].matches.holds(facts))
+        let candidates = self.by_class.get(facts.class).unwrap_or(&self.other_classes);
+        candidates.iter().copied().find(|i| routes[*i].matches.holds(facts))
     }
 }
 
@@ -53,8 +53,9 @@
     use super::*;
     use crate::expression::Match;
 
+    /// Guards against an index that skips a route which a search through all routes would find.
     #[test]
-    fn the_index_finds_what_a_look_at_each_would() {
+    fn the_index_agrees_with_a_search_through_all_routes() {
         let texts = [
             "class == \"a\" and group in [1..3]",
             "class in [\"a\", \"b\"] and has key",
@@ -66,7 +67,7 @@
         ];
         let routes: Vec<Route> =
             texts.iter().map(|text| Route::new(text, Match::read(text).unwrap())).collect();
-        let table = Table::new(&routes);
+        let index = RouteIndex::new(&routes);
         let mut found = std::collections::BTreeSet::new();
         for class in ["a", "b", "c", "d"] {
             for group in 0..9 {
@@ -74,11 +75,11 @@
                     let facts =
                         Facts { class, group, key: bits & 1 > 0, session: bits & 2 > 0, ..Facts::default() };
                     let expected = routes.iter().position(|r| r.matches.holds(&facts));
-                    assert_eq!(table.find(&routes, &facts), expected, "{facts:?}");
+                    assert_eq!(index.find(&routes, &facts), expected, "{facts:?}");
                     found.insert(expected);
                 }
             }
         }
-        assert_eq!(found.len(), routes.len() + 1, "each route is taken by some, and none by some");
+        assert_eq!(found.len(), routes.len() + 1, "each route is found for some request, and none for some");
     }
 }
