--- a/crates/operator/src/routes.rs
+++ b/crates/operator/src/routes.rs
@@ -3,7 +3,7 @@
 use std::num::NonZeroU32;
 
 use beaconshore::interface::{Micros, Settings, ZoneId};
-use beaconshore_routes::expression::Match;
+use beaconshore_routes::expression::Matcher;
 use beaconshore_routes::policy::{OpenLimit, Pause, Policy, RateLimit, Route};
 
 use crate::proto;
@@ -26,10 +26,10 @@
         let mut wrong = |field: &str, reason: String| {
             problems.push(impossible(file, text, &format!("routes.route[{i}].{field}"), &reason));
         };
-        let matches = Match::read(&route.r#match).unwrap_or_else(|e| {
+        let matches = Matcher::parse(&route.r#match).unwrap_or_else(|e| {
             wrong("match", e.to_string());
             // Matches nothing, so that no finding follows from it.
-            Match::Not(Box::new(Match::Always))
+            Matcher::Not(Box::new(Matcher::Always))
         });
         let read = read(route, matches, zones, &mut wrong);
         policy.routes.push(read);
@@ -46,7 +46,7 @@
 
 fn read(
     route: &proto::Route,
-    matches: Match,
+    matches: Matcher,
     zones: &[String],
     wrong: &mut dyn FnMut(&str, String),
 ) -> Route {
@@ -146,10 +146,10 @@
             "op:2:21: routes.route[0].match: expected == or in\n  class = \"view\"\n        ^",
             "op:3:73: routes.route[1].zone[0]: no zone \"q\"; the settings name a, b",
             "op:6:37: routes.route[2].rate: 0 would admit nothing",
-            "op:3:45: routes.route[1].attempts: the last one may begin 900 ms after the first",
+            "op:3:45: routes.route[1].attempts: the last attempt may begin 900 ms after the first",
             "op:5:5: routes.route[2].name: route[0] has the same name",
-            "op:6:21: routes.route[2].budget_ms: is 1500 ms, clients of \"view\" wait 1000 ms at most",
-            "op:6:21: routes.route[2].budget_ms: is 1500 ms, clients of \"log\" wait 1000 ms at most",
+            "op:6:21: routes.route[2].budget_ms: is 1500 ms, but clients of class \"view\" wait 1000 ms at most",
+            "op:6:21: routes.route[2].budget_ms: is 1500 ms, but clients of class \"log\" wait 1000 ms at most",
         ];
         assert_eq!(said.len(), expected.len(), "{said:#?}");
         for (said, expected) in said.iter().zip(expected) {
--- a/crates/routes/benches/matching.rs
+++ b/crates/routes/benches/matching.rs
@@ -1,29 +1,29 @@
-//! What it costs to find a request's route and to admit it, among 1, 20 and 200 routes.
+//! Measures the time to find the route of a request, admit the request and record its end, with 1, 20 and 200 routes.
 
-#![allow(missing_docs)] // What the benchmark's macros make.
+#![allow(missing_docs)] // The macros of criterion generate items without documentation.
 
 use beaconshore::interface::RequestId;
 use beaconshore_routes::director::{Director, Over};
-use beaconshore_routes::expression::{Facts, Match};
+use beaconshore_routes::expression::{Facts, Matcher};
 use beaconshore_routes::policy::{Policy, Route};
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
 
 const CLASSES: [&str; 4] = ["view", "history", "record", "once"];
 
-/// Routes by class and group, with a budget for repeats each; the last takes the rest.
+/// Routes by class and group, each with a retry budget. The last one takes all other requests.
 fn policy(count: usize) -> Policy {
     let route = |i: usize| {
         let text = match i + 1 == count {
             true => "always".to_owned(),
             false => format!("class == {:?} and group in [{}..{}]", CLASSES[i % 4], 5 * i, 5 * i + 4),
         };
-        let matches = Match::read(&text).expect("a match that can be read");
+        let matches = Matcher::parse(&text).expect("a valid match expression");
         Route { repeats: Some((0.1, 1.0)), ..Route::new(&format!("r{i}"), matches) }
     };
     Policy { routes: (0..count).map(route).collect(), open: None }
 }
 
-fn cost(criterion: &mut Criterion) {
+fn measure_admission(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("route");
     for count in [1, 20, 200] {
         let mut director = Director::new(policy(count), 7, 0);
@@ -42,5 +42,5 @@
     group.finish();
 }
 
-criterion_group!(benches, cost);
+criterion_group!(benches, measure_admission);
 criterion_main!(benches);
--- a/crates/routes/src/director.rs
+++ b/crates/routes/src/director.rs
@@ -25,13 +25,13 @@
 
 /// The limit that rejected a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Cause {
+pub enum RejectReason {
     /// The route's limit on the rate of first attempts.
-    Rate,
+    RateLimit,
     /// The route's limit on requests in flight.
-    Open,
+    ConcurrencyLimit,
     /// The limit on requests in flight that all routes share.
-    Share,
+    SharedLimit,
 }
 
 /// Decision on a new request.
@@ -40,7 +40,7 @@
     /// The request is admitted with this much time, in microseconds, and with these restrictions.
     Admit(Micros, Narrow),
     /// The request is rejected at once, by this limit. The client may come back after this time, in microseconds.
-    TurnAway(Cause, Micros),
+    TurnAway(RejectReason, Micros),
 }
 
 /// Decision on a retry after a failed attempt.
@@ -56,17 +56,17 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Requests that matched the route, including those that it rejected.
-    pub taken: u64,
+    pub matched: u64,
     /// Requests rejected by the route's rate limit.
-    pub rate: u64,
+    pub rejected_by_rate: u64,
     /// Requests rejected by the route's own concurrency limit.
-    pub open: u64,
+    pub rejected_by_concurrency: u64,
     /// Requests rejected by the concurrency limit that all routes share.
-    pub share: u64,
+    pub rejected_by_shared_limit: u64,
     /// Retries allowed.
-    pub again: u64,
+    pub retries_allowed: u64,
     /// Retries denied by the retry budget.
-    pub denied: u64,
+    pub retries_denied: u64,
 }
 
 struct RouteState {
@@ -123,19 +123,19 @@
             return unrestricted;
         }
         let state = &mut self.states[index];
-        state.counts.taken += 1;
+        state.counts.matched += 1;
         if state.concurrency.as_ref().is_some_and(|limit| !limit.has_capacity()) {
-            state.counts.open += 1;
-            return Verdict::TurnAway(Cause::Open, RETRY_AFTER_US);
+            state.counts.rejected_by_concurrency += 1;
+            return Verdict::TurnAway(RejectReason::ConcurrencyLimit, RETRY_AFTER_US);
         }
         // Slots are taken only after every check has passed, so that a rejected request has none to give back.
         if let Some(Err(wait)) = state.rate_limiter.as_mut().map(|limiter| limiter.try_admit(now)) {
-            state.counts.rate += 1;
-            return Verdict::TurnAway(Cause::Rate, wait);
+            state.counts.rejected_by_rate += 1;
+            return Verdict::TurnAway(RejectReason::RateLimit, wait);
         }
         if self.shares.as_mut().is_some_and(|shares| !shares.try_acquire(index, now)) {
-            state.counts.share += 1;
-            return Verdict::TurnAway(Cause::Share, RETRY_AFTER_US);
+            state.counts.rejected_by_shared_limit += 1;
+            return Verdict::TurnAway(RejectReason::SharedLimit, RETRY_AFTER_US);
         }
         state.concurrency.iter_mut().for_each(ConcurrencyLimit::acquire);
         state.retry_budget.iter_mut().for_each(|budget| budget.record_first_attempt(now));
@@ -165,10 +165,10 @@
         request.was_attempted = true;
         let state = &mut self.states[request.route];
         if state.retry_budget.as_mut().is_some_and(|budget| !budget.try_take_retry(now)) {
-            state.counts.denied += 1;
+            state.counts.retries_denied += 1;
             return Again::Never;
         }
-        state.counts.again += 1;
+        state.counts.retries_allowed += 1;
         let Some(Pause { least, most }) = state.route.pause else { return Again::At(now) };
         let highest = (request.last_delay.max(least) * BACKOFF_GROWTH).min(most).max(least);
         request.last_delay = self.random.random_range(least..=highest);
@@ -237,7 +237,7 @@
     }
 
     /// The route that a request with these attributes would take, if any.
-    pub fn route_of(&self, facts: &Facts) -> Option<&Route> {
+    pub fn find_route(&self, facts: &Facts) -> Option<&Route> {
         self.index.find(&self.routes, facts).map(|i| &self.routes[i])
     }
 }
--- a/crates/routes/src/expression.rs
+++ b/crates/routes/src/expression.rs
@@ -1,13 +1,18 @@
-//! The language of matches: `class == "view" and (group in [1, 4..9] or client in 10.0.0.0/8) and not has key`.
+//! The match language of routes: expressions over the attributes of a request, such as
+//! `class == "view" and (group in [1, 4..9] or client in 10.0.0.0/8) and not has key`.
+//!
+//! The grammar:
 //!
 //! ```text
-//! any      = all ("or" all)*
-//! all      = one ("and" one)*
-//! one      = "not" one | "(" any ")" | "always" | test
-//! test     = "class" "==" text | "class" "in" "[" text, ... "]" | "group" "==" number
-//!          | "group" "in" "[" (number | number ".." number), ... "]" | "has" ("key" | "session" | "repeat")
-//!          | "client" "in" address "/" bits | ("user" | "database") "==" text | "statement" "starts" text
+//! disjunction = conjunction ("or" conjunction)*
+//! conjunction = term ("and" term)*
+//! term        = "not" term | "(" disjunction ")" | "always" | test
+//! test        = "class" "==" string | "class" "in" "[" string, ... "]" | "group" "==" number
+//!             | "group" "in" "[" (number | number ".." number), ... "]" | "has" ("key" | "session" | "repeat")
+//!             | "client" "in" address "/" bits | ("user" | "database") "==" string | "statement" "starts" string
 //! ```
+//!
+//! `not` binds tighter than `and`, and `and` tighter than `or`.
 
 use std::fmt;
 use std::net::IpAddr;
@@ -18,358 +23,380 @@
 use winnow::prelude::*;
 use winnow::token::{take_till, take_while};
 
-/// Expressions nested deeper than this are refused: each level takes stack.
-const DEEPEST: usize = 32;
-/// Longest expression, in bytes.
-const LONGEST: usize = 4096;
+/// Maximum nesting of an expression, in levels of parentheses or of `not`. The parser is recursive: each level takes
+/// stack.
+const MAX_NESTING: usize = 32;
+/// Maximum length of an expression, in bytes.
+const MAX_EXPRESSION_BYTES: usize = 4096;
 
-/// What is known of a request when its route is sought.
+/// The attributes of a request that a route can match.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Facts<'a> {
-    /// Name of its class.
+    /// Name of the request's class.
     pub class: &'a str,
-    /// The group that it names.
+    /// Number of the group that the request names.
     pub group: u32,
-    /// Whether it carries a key.
+    /// Whether the request carries an idempotency key.
     pub key: bool,
-    /// Whether it belongs to a session.
+    /// Whether the request belongs to a session.
     pub session: bool,
-    /// Whether its client says that it asked before.
+    /// Whether the client marked the request as a repeat of an earlier one.
     pub repeat: bool,
-    /// Its client's address, where the front knows it.
+    /// The client's address, if the protocol front end knows it.
     pub client: Option<IpAddr>,
-    /// The connection's user.
+    /// The user of the client's connection.
     pub user: &'a str,
-    /// The connection's database.
+    /// The database of the client's connection.
     pub database: &'a str,
-    /// Its statement, without comments.
+    /// The request's statement, without comments.
     pub statement: &'a str,
 }
 
-/// One match.
+/// A parsed expression that a request matches or does not match.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Match {
-    /// Every request.
+pub enum Matcher {
+    /// Matches every request.
     Always,
-    /// Any of these.
-    Any(Vec<Match>),
-    /// All of these.
-    All(Vec<Match>),
-    /// Not this.
-    Not(Box<Match>),
-    /// One of these classes.
+    /// Matches if at least one of these does.
+    Any(Vec<Matcher>),
+    /// Matches if all of these do.
+    All(Vec<Matcher>),
+    /// Matches if this does not.
+    Not(Box<Matcher>),
+    /// Matches requests of these classes.
     Class(Vec<String>),
-    /// A group within one of these ranges, both ends included.
+    /// Matches requests whose group is in one of these ranges, both ends included.
     Group(Vec<(u32, u32)>),
-    /// Carries a key.
+    /// Matches requests that carry an idempotency key.
     Key,
-    /// Belongs to a session.
+    /// Matches requests that belong to a session.
     Session,
-    /// A client's repeat.
+    /// Matches requests that their client marked as a repeat.
     Repeat,
-    /// A client in this network.
+    /// Matches clients in this network: its address, and the length of its prefix in bits.
     Client(IpAddr, u8),
-    /// This user.
+    /// Matches connections of this user.
     User(String),
-    /// This database.
+    /// Matches connections to this database.
     Database(String),
-    /// A statement that begins with these words, in any case.
+    /// Matches statements that begin with these words, in any case and with any white space between them.
     Statement(String),
 }
 
-/// What is wrong with an expression, and where: an offset in bytes.
+/// An expression that does not parse, with the place of the error. Its display shows the expression and a caret under
+/// that place.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Unreadable {
-    /// Where.
+pub struct ParseError {
+    /// Place of the error, as an offset in bytes.
     pub offset: usize,
     /// What was expected there.
     pub reason: String,
     text: String,
 }
 
-impl fmt::Display for Unreadable {
+impl fmt::Display for ParseError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let column = self.text[..self.offset].chars().count();
         write!(f, "{}\n  {}\n  {:>width$}", self.reason, self.text, '^', width = column + 1)
     }
 }
 
-impl Match {
-    /// Reads an expression.
-    pub fn read(text: &str) -> Result<Match, Unreadable> {
-        let wrong = |offset: usize, reason: String| {
+impl Matcher {
+    /// Parses an expression.
+    pub fn parse(text: &str) -> Result<Matcher, ParseError> {
+        let error = |offset: usize, reason: String| {
             let offset = text.floor_char_boundary(offset);
-            // The caret stands under what can't be read, not under the space before it.
+            // The caret points to what does not parse, not to the white space before it.
             let rest = &text[offset..];
             let offset = offset + (rest.len() - rest.trim_start().len());
-            Unreadable { offset, reason, text: text.to_owned() }
+            ParseError { offset, reason, text: text.to_owned() }
         };
-        if text.len() > LONGEST {
-            return Err(wrong(0, format!("{} bytes, {LONGEST} at most", text.len())));
+        if text.len() > MAX_EXPRESSION_BYTES {
+            return Err(error(
+                0,
+                format!("the expression has {} bytes, {MAX_EXPRESSION_BYTES} at most", text.len()),
+            ));
         }
-        if let Some(offset) = too_deep(text) {
-            return Err(wrong(offset, format!("nested deeper than {DEEPEST}")));
+        if let Some(offset) = excess_nesting(text) {
+            return Err(error(offset, format!("nested deeper than {MAX_NESTING} levels")));
         }
-        delimited(multispace0, any, multispace0).parse(text).map_err(|e| {
-            let expected: Vec<String> = e.inner().context().map(ToString::to_string).collect();
-            // The innermost comes first.
-            let reason = match expected.first() {
-                Some(expected) => format!("expected {}", expected.trim_start_matches("expected ")),
-                None => "can't be read from here on; and, or, or the end was expected".into(),
+        delimited(multispace0, disjunction, multispace0).parse(text).map_err(|e| {
+            let contexts: Vec<String> = e.inner().context().map(ToString::to_string).collect();
+            // The innermost context comes first.
+            let reason = match contexts.first() {
+                Some(context) => format!("expected {}", context.trim_start_matches("expected ")),
+                None => "expected and, or, or the end of the expression".into(),
             };
-            wrong(e.offset(), reason)
+            error(e.offset(), reason)
         })
     }
 
-    /// Whether a request matches.
+    /// Whether a request with these attributes matches.
     pub fn holds(&self, facts: &Facts) -> bool {
         match self {
-            Match::Always => true,
-            Match::Any(all) => all.iter().any(|m| m.holds(facts)),
-            Match::All(all) => all.iter().all(|m| m.holds(facts)),
-            Match::Not(one) => !one.holds(facts),
-            Match::Class(names) => names.iter().any(|name| name == facts.class),
-            Match::Group(ranges) => ranges.iter().any(|(from, to)| (*from..=*to).contains(&facts.group)),
-            Match::Key => facts.key,
-            Match::Session => facts.session,
-            Match::Repeat => facts.repeat,
-            Match::Client(network, bits) => {
-                facts.client.is_some_and(|client| within(client, *network, *bits))
+            Matcher::Always => true,
+            Matcher::Any(all) => all.iter().any(|m| m.holds(facts)),
+            Matcher::All(all) => all.iter().all(|m| m.holds(facts)),
+            Matcher::Not(one) => !one.holds(facts),
+            Matcher::Class(names) => names.iter().any(|name| name == facts.class),
+            Matcher::Group(ranges) => ranges.iter().any(|(from, to)| (*from..=*to).contains(&facts.group)),
+            Matcher::Key => facts.key,
+            Matcher::Session => facts.session,
+            Matcher::Repeat => facts.repeat,
+            Matcher::Client(network, bits) => {
+                facts.client.is_some_and(|client| is_in_network(client, *network, *bits))
             }
-            Match::User(name) => facts.user == name,
-            Match::Database(name) => facts.database == name,
-            Match::Statement(words) => starts(facts.statement, words),
+            Matcher::User(name) => facts.user == name,
+            Matcher::Database(name) => facts.database == name,
+            Matcher::Statement(words) => starts_with_words(facts.statement, words),
         }
     }
 
-    /// The classes that it can hold for at all; none: any.
+    /// The only classes whose requests can match. `None`: the expression does not restrict classes.
     pub fn classes(&self) -> Option<Vec<&str>> {
         match self {
-            Match::Class(names) => Some(names.iter().map(String::as_str).collect()),
-            Match::All(all) => all.iter().find_map(Match::classes),
-            Match::Any(all) => {
-                let each: Option<Vec<Vec<&str>>> = all.iter().map(Match::classes).collect();
+            Matcher::Class(names) => Some(names.iter().map(String::as_str).collect()),
+            Matcher::All(all) => all.iter().find_map(Matcher::classes),
+            Matcher::Any(all) => {
+                let each: Option<Vec<Vec<&str>>> = all.iter().map(Matcher::classes).collect();
                 each.map(|each| each.concat())
             }
             _ => None,
         }
     }
 
-    /// Each test that does not hold for a request, in words.
+    /// The tests of the expression that do not hold for a request, in the match language. Empty if the request matches.
     pub fn failing(&self, facts: &Facts) -> Vec<String> {
         match self {
             _ if self.holds(facts) => Vec::new(),
-            Match::All(all) | Match::Any(all) => all.iter().flat_map(|m| m.failing(facts)).collect(),
+            Matcher::All(all) | Matcher::Any(all) => all.iter().flat_map(|m| m.failing(facts)).collect(),
             other => vec![other.to_string()],
         }
     }
 
-    /// Whether every request that `other` holds for is held by this as well, as far as that is plain from their
-    /// form. A `false` says nothing.
-    pub fn covers(&self, other: &Match) -> bool {
+    /// Whether every request that `other` matches is matched by this expression too. Only the form of the expressions
+    /// is compared, so `false` does not prove that there is a request which only `other` matches.
+    pub fn covers(&self, other: &Matcher) -> bool {
         match (self, other) {
-            (Match::Always, _) => true,
+            (Matcher::Always, _) => true,
             (a, b) if a == b => true,
-            (Match::Class(mine), Match::Class(theirs)) => theirs.iter().all(|name| mine.contains(name)),
-            (Match::Group(mine), Match::Group(theirs)) => {
-                theirs.iter().all(|(from, to)| mine.iter().any(|(f, t)| f <= from && to <= t))
+            (Matcher::Class(own), Matcher::Class(others)) => others.iter().all(|name| own.contains(name)),
+            (Matcher::Group(own), Matcher::Group(others)) => {
+                others.iter().all(|(from, to)| own.iter().any(|(f, t)| f <= from && to <= t))
             }
-            (_, Match::Any(parts)) => parts.iter().all(|part| self.covers(part)),
-            (Match::All(parts), _) => parts.iter().all(|part| part.covers(other)),
-            (_, Match::All(parts)) if parts.iter().any(|part| self.covers(part)) => true,
-            (Match::Any(parts), _) => parts.iter().any(|part| part.covers(other)),
+            (_, Matcher::Any(parts)) => parts.iter().all(|part| self.covers(part)),
+            (Matcher::All(parts), _) => parts.iter().all(|part| part.covers(other)),
+            (_, Matcher::All(parts)) if parts.iter().any(|part| self.covers(part)) => true,
+            (Matcher::Any(parts), _) => parts.iter().any(|part| part.covers(other)),
             _ => false,
         }
     }
 }
 
-impl fmt::Display for Match {
+impl fmt::Display for Matcher {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let joined = |f: &mut fmt::Formatter<'_>, all: &[Match], word: &str| {
-            for (i, one) in all.iter().enumerate() {
-                write!(f, "{}{one}", if i == 0 { "(" } else { word })?;
+        let join = |f: &mut fmt::Formatter<'_>, parts: &[Matcher], operator: &str| {
+            for (i, part) in parts.iter().enumerate() {
+                write!(f, "{}{part}", if i == 0 { "(" } else { operator })?;
             }
             f.write_str(")")
         };
-        let texts = |names: &[String]| names.iter().map(|n| format!("{n:?}")).collect::<Vec<_>>().join(", ");
+        let quoted = |names: &[String]| names.iter().map(|n| format!("{n:?}")).collect::<Vec<_>>().join(", ");
         match self {
-            Match::Always => f.write_str("always"),
-            Match::Any(all) => joined(f, all, " or "),
-            Match::All(all) => joined(f, all, " and "),
-            Match::Not(one) => write!(f, "not {one}"),
-            Match::Class(names) => write!(f, "class in [{}]", texts(names)),
-            Match::Group(ranges) => {
+            Matcher::Always => f.write_str("always"),
+            Matcher::Any(parts) => join(f, parts, " or "),
+            Matcher::All(parts) => join(f, parts, " and "),
+            Matcher::Not(one) => write!(f, "not {one}"),
+            Matcher::Class(names) => write!(f, "class in [{}]", quoted(names)),
+            Matcher::Group(ranges) => {
                 let range = |(from, to): &(u32, u32)| format!("{from}..{to}");
                 write!(f, "group in [{}]", ranges.iter().map(range).collect::<Vec<_>>().join(", "))
             }
-            Match::Key => f.write_str("has key"),
-            Match::Session => f.write_str("has session"),
-            Match::Repeat => f.write_str("has repeat"),
-            Match::Client(network, bits) => write!(f, "client in {network}/{bits}"),
-            Match::User(name) => write!(f, "user == {name:?}"),
-            Match::Database(name) => write!(f, "database == {name:?}"),
-            Match::Statement(words) => write!(f, "statement starts {words:?}"),
+            Matcher::Key => f.write_str("has key"),
+            Matcher::Session => f.write_str("has session"),
+            Matcher::Repeat => f.write_str("has repeat"),
+            Matcher::Client(network, bits) => write!(f, "client in {network}/{bits}"),
+            Matcher::User(name) => write!(f, "user == {name:?}"),
+            Matcher::Database(name) => write!(f, "database == {name:?}"),
+            Matcher::Statement(words) => write!(f, "statement starts {words:?}"),
         }
     }
 }
 
-fn too_deep(text: &str) -> Option<usize> {
-    let (mut depth, mut quoted) = (0_usize, false);
+/// The place, in bytes, at which an expression exceeds the maximum nesting; the start of the expression if a chain of
+/// `not` does.
+fn excess_nesting(text: &str) -> Option<usize> {
+    let (mut depth, mut in_quotes) = (0_usize, false);
     for (offset, c) in text.char_indices() {
         match c {
-            '"' => quoted = !quoted,
-            '(' if !quoted => depth += 1,
-            ')' if !quoted => depth = depth.saturating_sub(1),
+            '"' => in_quotes = !in_quotes,
+            '(' if !in_quotes => depth += 1,
+            ')' if !in_quotes => depth = depth.saturating_sub(1),
             _ => {}
         }
-        if depth > DEEPEST {
+        if depth > MAX_NESTING {
             return Some(offset);
         }
     }
-    // Chains of "not" nest as well.
-    let mut nots = 0;
+    // Each "not" of a chain is a level of its own for the parser.
+    let mut chain = 0;
     for word in text.split_whitespace() {
-        nots = if word == "not" { nots + 1 } else { 0 };
-        if nots > DEEPEST {
+        chain = if word == "not" { chain + 1 } else { 0 };
+        if chain > MAX_NESTING {
             return Some(0);
         }
     }
     None
 }
 
-fn within(client: IpAddr, network: IpAddr, bits: u8) -> bool {
-    let same = |a: u128, b: u128, width: u32| {
-        let rest = width - u32::from(bits).min(width);
-        // All bits of the width shifted out: any address fits.
-        a.checked_shr(rest).unwrap_or(0) == b.checked_shr(rest).unwrap_or(0) || rest == width
+/// Whether a client's address is in a network whose prefix has this many bits.
+fn is_in_network(client: IpAddr, network: IpAddr, prefix_bits: u8) -> bool {
+    let same_prefix = |a: u128, b: u128, width: u32| {
+        let host_bits = width - u32::from(prefix_bits).min(width);
+        // With a prefix of 0 bits every address is in the network.
+        a.checked_shr(host_bits).unwrap_or(0) == b.checked_shr(host_bits).unwrap_or(0) || host_bits == width
     };
     match (client, network) {
-        (IpAddr::V4(a), IpAddr::V4(b)) => same(u32::from(a).into(), u32::from(b).into(), 32),
-        (IpAddr::V6(a), IpAddr::V6(b)) => same(a.into(), b.into(), 128),
+        (IpAddr::V4(a), IpAddr::V4(b)) => same_prefix(u32::from(a).into(), u32::from(b).into(), 32),
+        (IpAddr::V6(a), IpAddr::V6(b)) => same_prefix(a.into(), b.into(), 128),
         _ => false,
     }
 }
 
-/// Whether a statement begins with these words, whatever the case and the space between.
-fn starts(statement: &str, words: &str) -> bool {
+/// Whether a statement begins with these words, in any case and with any white space between them.
+fn starts_with_words(statement: &str, words: &str) -> bool {
     let mut statement = statement.split_whitespace();
     words.split_whitespace().all(|word| statement.next().is_some_and(|s| s.eq_ignore_ascii_case(word)))
 }
 
-// ---- The grammar ----
+// ---- Grammar: a parser for each nonterminal in the head of this module ----
 
-type Read<T> = winnow::ModalResult<T>;
+type ParseResult<T> = winnow::ModalResult<T>;
 
-fn word<'i>(text: &'static str) -> impl Parser<&'i str, &'i str, winnow::error::ErrMode<ContextError>> {
-    let bare = take_while(1.., |c: char| c.is_ascii_alphanumeric() || c == '_');
-    preceded(multispace0, bare.verify(move |found: &str| found == text))
+/// A whole word of the language, after any white space.
+fn keyword<'i>(text: &'static str) -> impl Parser<&'i str, &'i str, winnow::error::ErrMode<ContextError>> {
+    let identifier = take_while(1.., |c: char| c.is_ascii_alphanumeric() || c == '_');
+    preceded(multispace0, identifier.verify(move |found: &str| found == text))
 }
 
-fn sign<'i>(text: &'static str) -> impl Parser<&'i str, &'i str, winnow::error::ErrMode<ContextError>> {
+/// A symbol of the language, after any white space.
+fn symbol<'i>(text: &'static str) -> impl Parser<&'i str, &'i str, winnow::error::ErrMode<ContextError>> {
     preceded(multispace0, text)
 }
 
-fn want(what: &'static str) -> StrContext {
-    StrContext::Expected(StrContextValue::Description(what))
+/// Names what the grammar expects, for error messages.
+fn expected(description: &'static str) -> StrContext {
+    StrContext::Expected(StrContextValue::Description(description))
 }
 
-fn joined(mut all: Vec<Match>, join: impl Fn(Vec<Match>) -> Match) -> Match {
-    if all.len() == 1 {
-        all.remove(0)
+/// Combines operands by an operator; a single operand stands for itself.
+fn combine(mut operands: Vec<Matcher>, operator: impl Fn(Vec<Matcher>) -> Matcher) -> Matcher {
+    if operands.len() == 1 {
+        operands.remove(0)
     } else {
-        join(all)
+        operator(operands)
     }
 }
 
-fn any(input: &mut &str) -> Read<Match> {
-    let rest = repeat(0.., preceded(word("or"), cut_err(all)));
-    let (first, rest): (Match, Vec<Match>) = (all, rest).parse_next(input)?;
-    Ok(joined([vec![first], rest].concat(), Match::Any))
+fn disjunction(input: &mut &str) -> ParseResult<Matcher> {
+    let rest = repeat(0.., preceded(keyword("or"), cut_err(conjunction)));
+    let (first, rest): (Matcher, Vec<Matcher>) = (conjunction, rest).parse_next(input)?;
+    Ok(combine([vec![first], rest].concat(), Matcher::Any))
 }
 
-fn all(input: &mut &str) -> Read<Match> {
-    let rest = repeat(0.., preceded(word("and"), cut_err(one)));
-    let (first, rest): (Match, Vec<Match>) = (one, rest).parse_next(input)?;
-    Ok(joined([vec![first], rest].concat(), Match::All))
+fn conjunction(input: &mut &str) -> ParseResult<Matcher> {
+    let rest = repeat(0.., preceded(keyword("and"), cut_err(term)));
+    let (first, rest): (Matcher, Vec<Matcher>) = (term, rest).parse_next(input)?;
+    Ok(combine([vec![first], rest].concat(), Matcher::All))
 }
 
-fn one(input: &mut &str) -> Read<Match> {
+fn term(input: &mut &str) -> ParseResult<Matcher> {
     alt((
-        preceded(word("not"), cut_err(one)).map(|m| Match::Not(Box::new(m))),
-        delimited(sign("("), cut_err(any), cut_err(sign(")")).context(want("a closing bracket"))),
-        word("always").value(Match::Always),
-        class,
-        group,
-        has,
-        client,
-        preceded((word("user"), cut_err(sign("=="))), cut_err(text)).map(Match::User),
-        preceded((word("database"), cut_err(sign("=="))), cut_err(text)).map(Match::Database),
-        preceded((word("statement"), cut_err(word("starts"))), cut_err(text)).map(Match::Statement),
+        preceded(keyword("not"), cut_err(term)).map(|m| Matcher::Not(Box::new(m))),
+        delimited(
+            symbol("("),
+            cut_err(disjunction),
+            cut_err(symbol(")")).context(expected("a closing parenthesis")),
+        ),
+        keyword("always").value(Matcher::Always),
+        class_test,
+        group_test,
+        attribute_test,
+        client_test,
+        preceded((keyword("user"), cut_err(symbol("=="))), cut_err(quoted_string)).map(Matcher::User),
+        preceded((keyword("database"), cut_err(symbol("=="))), cut_err(quoted_string)).map(Matcher::Database),
+        preceded((keyword("statement"), cut_err(keyword("starts"))), cut_err(quoted_string))
+            .map(Matcher::Statement),
+    ))
+    .context(expected(
+        "a test: class, group, has, client, user, database, statement, always, not, or a parenthesis",
     ))
-    .context(want("a test: class, group, has, client, user, database, statement, always, not, or a bracket"))
     .parse_next(input)
 }
 
-fn text(input: &mut &str) -> Read<String> {
-    let quoted = delimited(sign("\""), take_till(0.., |c| c == '"'), "\"");
-    quoted.map(str::to_owned).context(want("a text in quotes")).parse_next(input)
+/// A string in double quotes. There are no escapes, so that it cannot contain a quote.
+fn quoted_string(input: &mut &str) -> ParseResult<String> {
+    let quoted = delimited(symbol("\""), take_till(0.., |c| c == '"'), "\"");
+    quoted.map(str::to_owned).context(expected("a quoted string")).parse_next(input)
 }
 
-fn number(input: &mut &str) -> Read<u32> {
-    preceded(multispace0, digit1.try_map(str::parse::<u32>)).context(want("a number")).parse_next(input)
+fn number(input: &mut &str) -> ParseResult<u32> {
+    preceded(multispace0, digit1.try_map(str::parse::<u32>)).context(expected("a number")).parse_next(input)
 }
 
+/// A list in square brackets with at least one element.
 fn list<'i, T>(
     element: impl Parser<&'i str, T, winnow::error::ErrMode<ContextError>>,
 ) -> impl Parser<&'i str, Vec<T>, winnow::error::ErrMode<ContextError>> {
     delimited(
-        sign("[").context(want("a list in square brackets")),
-        cut_err(separated(1.., element, sign(","))),
-        cut_err(sign("]")).context(want("a comma or a closing square bracket")),
+        symbol("[").context(expected("a list in square brackets")),
+        cut_err(separated(1.., element, symbol(","))),
+        cut_err(symbol("]")).context(expected("a comma or a closing square bracket")),
     )
 }
 
-fn class(input: &mut &str) -> Read<Match> {
-    let one = preceded(sign("=="), cut_err(text)).map(|name| vec![name]);
-    let some = preceded(word("in"), cut_err(list(text)));
-    preceded(word("class"), cut_err(alt((one, some)).context(want("== or in"))))
-        .map(Match::Class)
+fn class_test(input: &mut &str) -> ParseResult<Matcher> {
+    let one = preceded(symbol("=="), cut_err(quoted_string)).map(|name| vec![name]);
+    let several = preceded(keyword("in"), cut_err(list(quoted_string)));
+    preceded(keyword("class"), cut_err(alt((one, several)).context(expected("== or in"))))
+        .map(Matcher::Class)
         .parse_next(input)
 }
 
-fn range(input: &mut &str) -> Read<(u32, u32)> {
-    let (from, to) = (number, opt(preceded(sign(".."), cut_err(number)))).parse_next(input)?;
+/// A number or a range of numbers; a number is a range of one.
+fn group_range(input: &mut &str) -> ParseResult<(u32, u32)> {
+    let (from, to) = (number, opt(preceded(symbol(".."), cut_err(number)))).parse_next(input)?;
     Ok((from, to.unwrap_or(from)))
 }
 
-fn group(input: &mut &str) -> Read<Match> {
-    let one = preceded(sign("=="), cut_err(number)).map(|n| vec![(n, n)]);
-    let some = preceded(word("in"), cut_err(list(range)));
-    preceded(word("group"), cut_err(alt((one, some)).context(want("== or in"))))
-        .map(Match::Group)
+fn group_test(input: &mut &str) -> ParseResult<Matcher> {
+    let one = preceded(symbol("=="), cut_err(number)).map(|n| vec![(n, n)]);
+    let several = preceded(keyword("in"), cut_err(list(group_range)));
+    preceded(keyword("group"), cut_err(alt((one, several)).context(expected("== or in"))))
+        .map(Matcher::Group)
         .parse_next(input)
 }
 
-fn has(input: &mut &str) -> Read<Match> {
-    let what = alt((
-        word("key").value(Match::Key),
-        word("session").value(Match::Session),
-        word("repeat").value(Match::Repeat),
+fn attribute_test(input: &mut &str) -> ParseResult<Matcher> {
+    let attribute = alt((
+        keyword("key").value(Matcher::Key),
+        keyword("session").value(Matcher::Session),
+        keyword("repeat").value(Matcher::Repeat),
     ));
-    preceded(word("has"), cut_err(what.context(want("key, session or repeat")))).parse_next(input)
+    preceded(keyword("has"), cut_err(attribute.context(expected("key, session or repeat")))).parse_next(input)
 }
 
-fn client(input: &mut &str) -> Read<Match> {
+fn client_test(input: &mut &str) -> ParseResult<Matcher> {
     let address = take_while(1.., |c: char| c.is_ascii_hexdigit() || c == '.' || c == ':');
     let address = preceded(multispace0, address.try_map(str::parse::<IpAddr>));
     let bits = digit1.try_map(str::parse::<u8>);
     let network = separated_pair(address, "/", bits)
         .verify(|(address, bits): &(IpAddr, u8)| *bits <= if address.is_ipv4() { 32 } else { 128 });
     preceded(
-        (word("client"), cut_err(word("in"))),
-        cut_err(network.context(want("a network such as 10.0.0.0/8"))),
+        (keyword("client"), cut_err(keyword("in"))),
+        cut_err(network.context(expected("a network such as 10.0.0.0/8"))),
     )
-    .map(|(address, bits)| Match::Client(address, bits))
+    .map(|(address, bits)| Matcher::Client(address, bits))
     .parse_next(input)
 }
 
@@ -389,8 +416,10 @@
         }
     }
 
+    /// Guards against wrong precedence of `not`, `and` and `or`, against tests that hold for the wrong requests, and
+    /// against a display that parses to another expression.
     #[test]
-    fn tests_hold_and_join_by_precedence() {
+    fn expressions_follow_precedence_and_match_the_right_requests() {
         let cases = [
             ("always", true),
             ("class == \"view\"", true),
@@ -410,49 +439,52 @@
             ("statement starts \"select pay\"", false),
         ];
         for (text, expected) in cases {
-            let read = Match::read(text).unwrap_or_else(|e| panic!("{e}"));
-            assert_eq!(read.holds(&facts()), expected, "{text}");
-            assert_eq!(Match::read(&read.to_string()).unwrap().holds(&facts()), expected, "{read}");
-            assert_eq!(read.failing(&facts()).is_empty(), expected, "{text}");
+            let matcher = Matcher::parse(text).unwrap_or_else(|e| panic!("{e}"));
+            assert_eq!(matcher.holds(&facts()), expected, "{text}");
+            assert_eq!(Matcher::parse(&matcher.to_string()).unwrap().holds(&facts()), expected, "{matcher}");
+            assert_eq!(matcher.failing(&facts()).is_empty(), expected, "{text}");
         }
     }
 
+    /// Guards against parse errors that point to the wrong place or do not name what is expected there.
     #[test]
-    fn what_cannot_be_read_is_shown_with_a_caret() {
+    fn parse_errors_name_what_is_expected_and_show_a_caret() {
         let cases = [
             ("class = \"view\"", 6, "== or in"),
-            ("class == view", 9, "a text in quotes"),
+            ("class == view", 9, "a quoted string"),
             ("group in [1, x]", 11, "a comma or a closing square bracket"),
             ("has kex", 4, "key, session or repeat"),
             ("client in 10.0.0.0/33", 10, "a network such as"),
-            ("(always", 7, "a closing bracket"),
+            ("(always", 7, "a closing parenthesis"),
             ("always always", 7, "and, or, or the end"),
             ("always and", 10, "a test"),
             ("", 0, "a test"),
             ("group == 99999999999", 9, "a number"),
         ];
         for (text, offset, reason) in cases {
-            let wrong = Match::read(text).unwrap_err();
-            assert!(wrong.reason.contains(reason), "{text:?}: {}", wrong.reason);
-            assert_eq!(wrong.offset, offset, "{wrong}");
+            let error = Matcher::parse(text).unwrap_err();
+            assert!(error.reason.contains(reason), "{text:?}: {}", error.reason);
+            assert_eq!(error.offset, offset, "{error}");
         }
-        let shown = Match::read("has kex").unwrap_err().to_string();
-        assert!(shown.ends_with("  has kex\n      ^"), "{shown}");
+        let displayed = Matcher::parse("has kex").unwrap_err().to_string();
+        assert!(displayed.ends_with("  has kex\n      ^"), "{displayed}");
     }
 
+    /// Guards against an expression that overflows the parser's stack.
     #[test]
     fn nesting_and_length_are_bounded() {
         let deep = |n: usize| format!("{}always{}", "(".repeat(n), ")".repeat(n));
-        assert_eq!(Match::read(&deep(32)), Ok(Match::Always));
-        assert!(Match::read(&deep(33)).unwrap_err().reason.contains("deeper"));
-        assert!(Match::read(&"not ".repeat(40)).unwrap_err().reason.contains("deeper"));
-        assert!(Match::read(&"x".repeat(5000)).unwrap_err().reason.contains("4096"));
+        assert_eq!(Matcher::parse(&deep(32)), Ok(Matcher::Always));
+        assert!(Matcher::parse(&deep(33)).unwrap_err().reason.contains("deeper"));
+        assert!(Matcher::parse(&"not ".repeat(40)).unwrap_err().reason.contains("deeper"));
+        assert!(Matcher::parse(&"x".repeat(5000)).unwrap_err().reason.contains("4096"));
     }
 
+    /// Guards against reporting a route as unreachable that some request can reach: `covers` must not claim too much.
     #[test]
-    fn what_covers_another_is_told_where_it_is_plain() {
-        let read = |text: &str| Match::read(text).unwrap();
-        for (mine, theirs, expected) in [
+    fn covers_holds_only_where_the_form_of_the_expressions_proves_it() {
+        let parse = |text: &str| Matcher::parse(text).unwrap();
+        for (covering, covered, expected) in [
             ("always", "has key", true),
             ("class in [\"a\", \"b\"]", "class == \"a\" and has key", true),
             ("class == \"a\" and has key", "class == \"a\"", false),
@@ -461,7 +493,7 @@
             ("has key or class == \"a\"", "class == \"a\"", true),
             ("has key", "class == \"a\" or has key", false),
         ] {
-            assert_eq!(read(mine).covers(&read(theirs)), expected, "{mine} over {theirs}");
+            assert_eq!(parse(covering).covers(&parse(covered)), expected, "{covering} over {covered}");
         }
     }
 }
--- a/crates/routes/src/policy.rs
+++ b/crates/routes/src/policy.rs
@@ -1,78 +1,81 @@
-//! What operators say of routes, and every way in which that can't be meant. All findings are told at once.
+//! The operator's configuration of routes and its validation. Validation reports all findings at once, each with its
+//! field and a remedy.
 
 use std::fmt;
 use std::num::NonZeroU32;
 
 use beaconshore::interface::{Consistency, Effect, Limits, Micros, Settings, ZoneId};
 
-use crate::expression::Match;
+use crate::expression::Matcher;
 
-/// Most routes.
-pub const MOST_ROUTES: usize = 500;
-/// Longest time of any kind, in microseconds.
-const LONGEST: Micros = 600_000_000;
+/// Maximum number of routes in a policy.
+pub const MAX_ROUTES: usize = 500;
+/// Maximum of any duration in a route, in microseconds.
+const MAX_DURATION_US: Micros = 600_000_000;
 
-/// Pauses between attempts: drawn between the least and three times the one before, up to the most.
+/// Backoff between attempts with decorrelated jitter: each delay is drawn at random between the lower bound and three
+/// times the delay before it, and never exceeds the upper bound.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Pause {
-    /// Least, in microseconds.
+    /// Lower bound, in microseconds.
     pub least: Micros,
-    /// Most, in microseconds.
+    /// Upper bound, in microseconds.
     pub most: Micros,
 }
 
-/// A limit on first tries.
+/// A limit on the rate of first attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RateLimit {
-    /// In a second.
+    /// Requests a second.
     pub per_second: NonZeroU32,
-    /// At once.
+    /// Requests that may come at once.
     pub burst: NonZeroU32,
 }
 
-/// Bounds of the adaptive limit on open requests.
+/// Parameters of the adaptive limit on requests in flight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OpenLimit {
-    /// At least.
+    /// The limit never falls below this.
     pub least: u32,
-    /// At most.
+    /// The limit never rises above this.
     pub most: u32,
-    /// Answers that take this multiple of the least usual time lower it.
+    /// Responses that take more than this multiple of the baseline latency lower the limit.
     pub tolerance: f64,
 }
 
-/// A route.
+/// A route: the requests that take it, and how it restricts them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Its name, by which counters and budgets go on over reloads.
+    /// Name of the route. Counters and limits are kept over reloads by this name.
     pub name: String,
-    /// Which requests take it.
-    pub matches: Match,
-    /// Time for a request, all attempts included; none: its client's.
+    /// Which requests take the route.
+    pub matches: Matcher,
+    /// Time for a request with all its attempts, in microseconds. `None`: the time that its client waits.
     pub budget: Option<Micros>,
-    /// Time for an attempt; none: what is left.
+    /// Time for one attempt, in microseconds. `None`: the time that is left for the request.
     pub attempt: Option<Micros>,
-    /// Attempts; none: the site's.
+    /// Maximum number of attempts for a request. `None`: the maximum of the site's settings.
     pub attempts: Option<u32>,
-    /// Pauses between them; none: none.
+    /// Backoff between attempts. `None`: a retry is sent at once.
     pub pause: Option<Pause>,
-    /// Repeats as a share of first tries, and at least so many a second; none: no budget.
+    /// Retry budget: retries as a share of first attempts, and the retries a second that are allowed in any case.
+    /// `None`: retries are not limited by a budget.
     pub repeats: Option<(f64, f64)>,
-    /// Limit on the rate of first tries.
+    /// Limit on the rate of first attempts. `None`: no limit.
     pub rate: Option<RateLimit>,
-    /// Limit on open requests.
+    /// Adaptive limit on requests in flight. `None`: no limit of its own.
     pub open: Option<OpenLimit>,
-    /// Weight at the common limit.
+    /// Weight of the route's share in the concurrency limit that all routes have in common.
     pub weight: f64,
-    /// Oldest data of its bounded reads; none: their class's bound.
+    /// Maximum staleness of bounded reads, in microseconds. `None`: the bound of their class.
     pub staleness: Option<Micros>,
-    /// Zones that it may use; empty: all.
+    /// Zones whose members may serve the route's reads. Empty: all zones.
     pub zones: Vec<ZoneId>,
 }
 
 impl Route {
-    /// One that narrows nothing.
-    pub fn new(name: &str, matches: Match) -> Self {
+    /// Creates a route that restricts nothing.
+    pub fn new(name: &str, matches: Matcher) -> Self {
         Route {
             name: name.to_owned(),
             matches,
@@ -89,33 +92,33 @@
         }
     }
 
-    /// When the last attempt may begin at the latest, after the first: with every attempt and every pause as long as
-    /// they can be. None if nothing bounds it.
-    pub fn last_attempt_after(&self, limits: &Limits) -> Option<Micros> {
-        let again = Micros::from(self.attempts.unwrap_or(limits.max_attempts).saturating_sub(1));
-        if again == 0 {
+    /// Latest start of the last attempt, in microseconds after the start of the first, if every attempt and every
+    /// backoff delay takes its maximum. `None` if the time for an attempt is not bounded.
+    pub fn latest_last_attempt_start(&self, limits: &Limits) -> Option<Micros> {
+        let retries = Micros::from(self.attempts.unwrap_or(limits.max_attempts).saturating_sub(1));
+        if retries == 0 {
             return Some(0);
         }
-        let pause = self.pause.map_or(0, |p| p.most);
-        self.attempt.map(|attempt| again.saturating_mul(attempt.saturating_add(pause)))
+        let max_delay = self.pause.map_or(0, |p| p.most);
+        self.attempt.map(|attempt| retries.saturating_mul(attempt.saturating_add(max_delay)))
     }
 }
 
-/// All routes; the first that matches is taken. A request that none matches is not narrowed.
+/// An ordered list of routes. A request takes the first route that it matches; one that matches none is not restricted.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Policy {
-    /// In order.
+    /// The routes, in the order in which they are matched.
     pub routes: Vec<Route>,
-    /// Open requests over all routes; none: no common limit.
+    /// Limit on the requests in flight of all routes together, shared by weight. `None`: no common limit.
     pub open: Option<u32>,
 }
 
-/// What is wrong, and what would be right.
+/// An invalid value in a policy, with a remedy.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
-    /// The field, as in the operator's file: `route[1].budget_ms`.
+    /// Path of the field in the operator's file, such as `route[1].budget_ms`.
     pub field: String,
-    /// Reason and remedy.
+    /// What is wrong with the value, and which values are valid.
     pub reason: String,
 }
 
@@ -125,132 +128,174 @@
     }
 }
 
-fn ms(time: Micros) -> String {
-    format!("{} ms", time / 1000)
+fn format_ms(duration: Micros) -> String {
+    format!("{} ms", duration / 1000)
 }
 
 impl Policy {
-    /// Everything that can't be meant at a site of these settings, whose classes have these names.
-    pub fn findings(&self, settings: &Settings, classes: &[String]) -> Vec<Finding> {
+    /// Validates the policy against the settings of a site, and returns every finding. `class_names` are the names of
+    /// the settings' classes, by index.
+    pub fn findings(&self, settings: &Settings, class_names: &[String]) -> Vec<Finding> {
         let mut found = Vec::new();
-        if self.routes.len() > MOST_ROUTES {
-            let reason = format!("{} routes, {MOST_ROUTES} at most", self.routes.len());
+        if self.routes.len() > MAX_ROUTES {
+            let reason = format!("has {} routes, must have {MAX_ROUTES} at most", self.routes.len());
             return vec![Finding { field: "route".into(), reason }];
         }
         if self.open == Some(0) {
             found.push(Finding { field: "open".into(), reason: "is 0: no request would be admitted".into() });
         }
         for (i, route) in self.routes.iter().enumerate() {
-            let mut say = |field: &str, reason: String| {
+            let mut report = |field: &str, reason: String| {
                 found.push(Finding { field: format!("route[{i}].{field}"), reason });
             };
             let earlier = &self.routes[..i];
             if route.name.is_empty() {
-                say("name", "a name is needed".into());
+                report("name", "is empty, but every route needs a name".into());
             } else if let Some(other) = earlier.iter().position(|r| r.name == route.name) {
-                say("name", format!("route[{other}] has the same name; counters go on by name"));
+                report(
+                    "name",
+                    format!("route[{other}] has the same name; names must differ, since counters go by name"),
+                );
             }
             if let Some(other) = earlier.iter().find(|r| r.matches.covers(&route.matches)) {
-                say("match", format!("is never reached: {:?} before it takes all of these", other.name));
+                report(
+                    "match",
+                    format!(
+                        "can never match: the earlier route {:?} takes all of these requests",
+                        other.name
+                    ),
+                );
             }
-            route.findings(settings, classes, &mut say);
+            route.findings(settings, class_names, &mut report);
         }
         found
     }
 }
 
 impl Route {
-    /// The classes, by index, whose requests may take it.
-    fn classes(&self, names: &[String]) -> Vec<usize> {
+    /// Indices of the classes whose requests can match the route.
+    fn classes(&self, class_names: &[String]) -> Vec<usize> {
         let named = self.matches.classes();
-        let may = |name: &String| named.as_ref().is_none_or(|named| named.contains(&name.as_str()));
-        names.iter().enumerate().filter(|(_, name)| may(name)).map(|(i, _)| i).collect()
+        let can_match = |name: &String| named.as_ref().is_none_or(|named| named.contains(&name.as_str()));
+        class_names.iter().enumerate().filter(|(_, name)| can_match(name)).map(|(i, _)| i).collect()
     }
 
-    fn findings(&self, settings: &Settings, names: &[String], say: &mut dyn FnMut(&str, String)) {
-        for unknown in self.matches.classes().into_iter().flatten().filter(|c| !names.iter().any(|n| n == c))
+    fn findings(&self, settings: &Settings, class_names: &[String], report: &mut dyn FnMut(&str, String)) {
+        for unknown in
+            self.matches.classes().into_iter().flatten().filter(|c| !class_names.iter().any(|n| n == c))
         {
-            say("match", format!("no class {unknown:?}; there are {}", names.join(", ")));
+            report("match", format!("no class {unknown:?}; there are {}", class_names.join(", ")));
         }
-        let times =
+        let durations =
             [("budget_ms", self.budget), ("attempt_ms", self.attempt), ("staleness_ms", self.staleness)];
-        for (field, time) in times {
-            if let Some(time) = time.filter(|time| *time == 0 || *time > LONGEST) {
-                say(field, format!("is {}, must be from 1 to {}", ms(time), ms(LONGEST)));
+        for (field, duration) in durations {
+            if let Some(duration) = duration.filter(|duration| *duration == 0 || *duration > MAX_DURATION_US)
+            {
+                report(
+                    field,
+                    format!("is {}, must be from 1 to {}", format_ms(duration), format_ms(MAX_DURATION_US)),
+                );
             }
         }
         if self.budget.zip(self.attempt).is_some_and(|(budget, attempt)| attempt > budget) {
-            say("attempt_ms", "an attempt would outlast the budget; make it shorter, or leave it out".into());
+            report("attempt_ms", "is longer than budget_ms; make it shorter, or leave it out".into());
         }
         if let Some(attempts) = self.attempts.filter(|n| *n == 0 || *n > settings.limits.max_attempts) {
-            say("attempts", format!("is {attempts}, must be from 1 to {}", settings.limits.max_attempts));
+            report("attempts", format!("is {attempts}, must be from 1 to {}", settings.limits.max_attempts));
         }
-        if let Some(pause) = self.pause.filter(|p| p.least == 0 || p.most < p.least || p.most > LONGEST) {
-            say("pause", format!("from {} to {}: must grow, from 1 ms on", ms(pause.least), ms(pause.most)));
+        if let Some(pause) =
+            self.pause.filter(|p| p.least == 0 || p.most < p.least || p.most > MAX_DURATION_US)
+        {
+            report(
+                "pause",
+                format!(
+                    "is from {} to {}; must ascend, from 1 ms or more to 600000 ms at most",
+                    format_ms(pause.least),
+                    format_ms(pause.most)
+                ),
+            );
         }
         if let Some((share, floor)) = self.repeats {
             if !(0.0..=1.0).contains(&share) {
-                say("repeats.share", format!("is {share}, must be from 0 to 1"));
+                report("repeats.share", format!("is {share}, must be from 0 to 1"));
             }
             if !(0.0..=1e6).contains(&floor) {
-                say("repeats.floor", format!("is {floor}, must be from 0 to 1000000"));
+                report("repeats.floor", format!("is {floor}, must be from 0 to 1000000"));
             }
         }
         if let Some(open) = self.open.filter(|o| o.least == 0 || o.most < o.least) {
-            say("open", format!("from {} to {}: must grow, from 1 on", open.least, open.most));
+            report(
+                "open",
+                format!(
+                    "is from {} to {}; least must be 1 or more, and most no less than least",
+                    open.least, open.most
+                ),
+            );
         }
         if self.open.is_some_and(|o| !(o.tolerance > 1.0 && o.tolerance <= 100.0)) {
-            say("open.tolerance", "must be over 1, and 100 at most".into());
+            report("open.tolerance", "must be over 1, and 100 at most".into());
         }
         if !(self.weight > 0.0 && self.weight <= 1e6) {
-            say("weight", format!("is {}, must be over 0, and 1000000 at most", self.weight));
+            report("weight", format!("is {}, must be over 0, and 1000000 at most", self.weight));
         }
-        for class in self.classes(names) {
-            self.class_findings(settings, class, &names[class], say);
+        for class in self.classes(class_names) {
+            self.class_findings(settings, class, &class_names[class], report);
         }
     }
 
-    /// What would break a rule for requests of one class, or can't come about.
+    /// Reports what would violate a guarantee for requests of one class, or could never take effect.
     fn class_findings(
         &self,
         settings: &Settings,
         class: usize,
         name: &str,
-        say: &mut dyn FnMut(&str, String),
+        report: &mut dyn FnMut(&str, String),
     ) {
         let Some(class) = settings.classes.get(class) else { return };
         if let Some(budget) = self.budget.filter(|budget| *budget > class.deadline) {
-            let reason =
-                format!("is {}, clients of {name:?} wait {} at most", ms(budget), ms(class.deadline));
-            say("budget_ms", reason);
+            let reason = format!(
+                "is {}, but clients of class {name:?} wait {} at most",
+                format_ms(budget),
+                format_ms(class.deadline)
+            );
+            report("budget_ms", reason);
         }
         match class.effect {
             Effect::Safe => {}
             Effect::Unsafe => {
                 if self.attempts.is_some_and(|attempts| attempts > 1) {
-                    say(
+                    report(
                         "attempts",
-                        format!("{name:?} must never run twice: 1, or a match that leaves it out"),
+                        format!(
+                            "must be 1, since requests of class {name:?} must never run twice; or exclude \
+                             the class from the match"
+                        ),
                     );
                 }
             }
             Effect::Keyed(_, window) => {
-                let last = self.last_attempt_after(&settings.limits);
-                if let Some(last) = last.filter(|last| self.attempts.is_some() && *last > window) {
+                let last_start = self.latest_last_attempt_start(&settings.limits);
+                if let Some(last_start) =
+                    last_start.filter(|last_start| self.attempts.is_some() && *last_start > window)
+                {
                     let reason = format!(
-                        "the last one may begin {} after the first, repeats of {name:?} are dropped for {} only; \
-                         fewer or shorter attempts, or shorter pauses",
-                        ms(last),
-                        ms(window)
+                        "the last attempt may begin {} after the first, but members drop repeats of \
+                         class {name:?} for {} only; allow fewer or shorter attempts, or shorter pauses",
+                        format_ms(last_start),
+                        format_ms(window)
                     );
-                    say("attempts", reason);
+                    report("attempts", reason);
                 }
             }
         }
         match (self.staleness, class.consistency) {
             (Some(staleness), Consistency::Bounded(bound)) if staleness > bound => {
-                let reason = format!("is {}, looser than the {} of {name:?}", ms(staleness), ms(bound));
-                say("staleness_ms", reason);
+                let reason = format!(
+                    "is {}, but class {name:?} allows {} at most",
+                    format_ms(staleness),
+                    format_ms(bound)
+                );
+                report("staleness_ms", reason);
             }
             _ => {}
         }
--- a/crates/routes/src/route_index.rs
+++ b/crates/routes/src/route_index.rs
@@ -51,7 +51,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::expression::Match;
+    use crate::expression::Matcher;
 
     /// Guards against an index that skips a route which a search through all routes would find.
     #[test]
@@ -66,7 +66,7 @@
             "class == \"a\"",
         ];
         let routes: Vec<Route> =
-            texts.iter().map(|text| Route::new(text, Match::read(text).unwrap())).collect();
+            texts.iter().map(|text| Route::new(text, Matcher::parse(text).unwrap())).collect();
         let index = RouteIndex::new(&routes);
         let mut found = std::collections::BTreeSet::new();
         for class in ["a", "b", "c", "d"] {
