--- a/crates/gossip/src/budget.rs
+++ b/crates/gossip/src/budget.rs
@@ -1,39 +1,46 @@
-//! A token bucket of bytes.
+//! A token bucket that limits the bytes a router sends.
 
 use beaconshore::interface::Micros;
 
-/// The bucket holds what the budget gives in this time, in seconds: a burst of news, no more.
-const DEPTH_SECONDS: u64 = 2;
-const SECOND: Micros = 1_000_000;
+/// Depth of the bucket, in seconds of the budget. It allows a burst of news, but no longer saving.
+const BUCKET_DEPTH_SECONDS: u64 = 2;
+/// Microseconds in a second, and millionths of a byte in a byte.
+const MICROS_PER_SECOND: Micros = 1_000_000;
 
-/// Bytes that may be sent, refilled evenly.
+/// A budget of bytes that refills at a constant rate.
 #[derive(Clone, Debug)]
 pub struct ByteBudget {
     bytes_per_second: u64,
-    /// In millionths of a byte.
+    /// Bytes that may be sent now, in millionths of a byte.
     tokens: u64,
     filled_at: Micros,
 }
 
 impl ByteBudget {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub fn new(bytes_per_second: u32, now: Micros) -> Self {
         let bytes_per_second = u64::from(bytes_per_second);
-        ByteBudget { bytes_per_second, tokens: bytes_per_second * DEPTH_SECONDS * SECOND, filled_at: now }
+        ByteBudget {
+            bytes_per_second,
+            tokens: bytes_per_second * BUCKET_DEPTH_SECONDS * MICROS_PER_SECOND,
+            filled_at: now,
+        }
     }
 
-    /// Adds what the time since the last call gave.
+    /// Adds the bytes for the time since the last call.
     pub fn refill(&mut self, now: Micros) {
-        let elapsed = now.saturating_sub(self.filled_at).min(DEPTH_SECONDS * SECOND);
-        let most = self.bytes_per_second * DEPTH_SECONDS * SECOND;
-        self.tokens = (self.tokens + elapsed * self.bytes_per_second).min(most);
+        let elapsed = now.saturating_sub(self.filled_at).min(BUCKET_DEPTH_SECONDS * MICROS_PER_SECOND);
+        let depth = self.bytes_per_second * BUCKET_DEPTH_SECONDS * MICROS_PER_SECOND;
+        self.tokens = (self.tokens + elapsed * self.bytes_per_second).min(depth);
         self.filled_at = self.filled_at.max(now);
     }
 
-    /// Takes so many bytes if they are there and this part of the bucket, in percent, stays in it.
-    pub fn take(&mut self, bytes: usize, reserve_percent: u64) -> bool {
-        let wanted = bytes as u64 * SECOND;
-        let reserve = self.bytes_per_second * DEPTH_SECONDS * SECOND / 100 * reserve_percent;
+    /// Takes bytes and returns whether there were enough of them: after it, `reserve_percent` of the bucket's depth
+    /// has to remain.
+    pub fn try_take(&mut self, bytes: usize, reserve_percent: u64) -> bool {
+        let wanted = bytes as u64 * MICROS_PER_SECOND;
+        let reserve =
+            self.bytes_per_second * BUCKET_DEPTH_SECONDS * MICROS_PER_SECOND / 100 * reserve_percent;
         let granted = self.tokens >= wanted + reserve;
         if granted {
             self.tokens -= wanted;
--- a/crates/gossip/src/digest.rs
+++ b/crates/gossip/src/digest.rs
@@ -1,23 +1,23 @@
-//! A digest of all roles that a router knows, by which two routers find what one of them lacks.
+//! A digest of all member roles that a router knows. Two routers compare digests to find what one of them lacks.
 
 use beaconshore::interface::Role;
 
 use crate::state::MemberTag;
 
-/// Buckets of a digest: a difference costs the states of one bucket, not of all members.
+/// Number of buckets of a digest. For a difference only the states of its bucket are sent, not those of all members.
 pub const BUCKETS: usize = 32;
 
-/// One sum for each bucket of members; equal where both know the same roles.
+/// A sum of hashes for each bucket of members. Sums are equal where two routers know the same roles.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Digest(pub [u32; BUCKETS]);
 
 impl Digest {
-    /// The bucket of a member.
+    /// The bucket that a member belongs to.
     pub fn bucket(member: MemberTag) -> usize {
         (mix(member.0) >> 8) as usize % BUCKETS
     }
 
-    /// Adds a member with a role; the order doesn't matter.
+    /// Adds a member with its role. The digest does not depend on the order in which members are added.
     pub fn add(&mut self, member: MemberTag, role: Role) {
         let role = match role {
             Role::Primary => 0x9e37_79b9,
@@ -27,14 +27,14 @@
         *sum = sum.wrapping_add(mix(member.0 ^ role));
     }
 
-    /// Buckets in which two digests differ.
+    /// The buckets in which two digests differ.
     pub fn differing(&self, other: &Digest) -> impl Iterator<Item = usize> {
         let (own, other) = (self.0, other.0);
         (0..BUCKETS).filter(move |bucket| own[*bucket] != other[*bucket])
     }
 }
 
-/// The finalizer of MurmurHash3: spreads neighbouring numbers over all bits.
+/// Hashes a number so that close numbers differ in all bits (the finalizer of MurmurHash3).
 fn mix(number: u32) -> u32 {
     let number = (number ^ number >> 16).wrapping_mul(0x85eb_ca6b);
     let number = (number ^ number >> 13).wrapping_mul(0xc2b2_ae35);
--- a/crates/gossip/src/policy.rs
+++ b/crates/gossip/src/policy.rs
@@ -1,52 +1,52 @@
-//! What operators say of dissemination.
+//! The operator's parameters of gossip, and their validation.
 
 use beaconshore::interface::Micros;
 
-/// Least bytes a second with which a change of role still gets through.
-const LEAST_BYTES: u32 = 128;
-/// Most peers that one round may address.
-const MOST_FANOUT: u32 = 16;
-/// Rounds are at least and at most this far apart.
-const ROUNDS: std::ops::RangeInclusive<Micros> = 50_000..=5_000_000;
+/// Minimum byte budget, in bytes a second. With less a change of role does not get through.
+const MIN_BYTES_PER_SECOND: u32 = 128;
+/// Maximum number of peers that one round may address.
+const MAX_FANOUT: u32 = 16;
+/// Valid time between two rounds, in microseconds.
+const ROUND_PERIOD_RANGE_US: std::ops::RangeInclusive<Micros> = 50_000..=5_000_000;
 
-/// The parameters of dissemination.
+/// The parameters of gossip.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Policy {
-    /// Bytes a second that this router sends, headers included. What it receives is the same in the mean.
+    /// Bytes a second that this router may send, IP and UDP headers included. On average it receives as much.
     pub bytes_per_second: u32,
-    /// Peers that each round addresses.
+    /// Number of peers that each round addresses.
     pub fanout: u32,
-    /// Pause between rounds.
-    pub round: Micros,
+    /// Time between two rounds, in microseconds.
+    pub round_period: Micros,
 }
 
 impl Default for Policy {
     fn default() -> Self {
-        Policy { bytes_per_second: 960, fanout: 3, round: 500_000 }
+        Policy { bytes_per_second: 960, fanout: 3, round_period: 500_000 }
     }
 }
 
-/// A parameter that can't be used: its field and the reason.
+/// An invalid parameter.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
-    /// The field's name.
+pub struct PolicyError {
+    /// Name of the field in the operator's file.
     pub field: &'static str,
-    /// Reason and remedy.
+    /// What is wrong with the value, and which values are valid.
     pub reason: String,
 }
 
 impl Policy {
-    /// Checks that the parameters can work.
-    pub fn check(&self) -> Result<(), Fault> {
-        let fault = |field, reason| Err(Fault { field, reason });
-        if self.bytes_per_second < LEAST_BYTES {
-            return fault("bytes_per_second", format!("under {LEAST_BYTES}: raise it"));
+    /// Validates the parameters, and returns the first error.
+    pub fn check(&self) -> Result<(), PolicyError> {
+        let error = |field, reason| Err(PolicyError { field, reason });
+        if self.bytes_per_second < MIN_BYTES_PER_SECOND {
+            return error("bytes_per_second", format!("must be {MIN_BYTES_PER_SECOND} or more"));
         }
-        if !(1..=MOST_FANOUT).contains(&self.fanout) {
-            return fault("fanout", format!("must be from 1 to {MOST_FANOUT}"));
+        if !(1..=MAX_FANOUT).contains(&self.fanout) {
+            return error("fanout", format!("must be from 1 to {MAX_FANOUT}"));
         }
-        if !ROUNDS.contains(&self.round) {
-            return fault("round_ms", "must be from 50 to 5000".into());
+        if !ROUND_PERIOD_RANGE_US.contains(&self.round_period) {
+            return error("round_ms", "must be from 50 to 5000".into());
         }
         Ok(())
     }
--- a/crates/gossip/src/state.rs
+++ b/crates/gossip/src/state.rs
@@ -1,4 +1,4 @@
-//! What is known of members' roles and positions, the newest evidence of each.
+//! The known roles and positions of members. For each member only the newest evidence is kept.
 
 use std::collections::BTreeMap;
 
@@ -6,36 +6,36 @@
 
 use crate::digest::Digest;
 
-/// Members that are kept; of further ones nothing is spread.
-const MOST_MEMBERS: usize = 8_192;
-/// A member of which nothing was heard for this long is forgotten: it is gone, or nobody uses it.
-const MEMORY: Micros = 600_000_000;
+/// Maximum number of members in the table. States of further members are ignored, and not spread.
+const MAX_MEMBERS: usize = 8_192;
+/// Time without news after which a member is removed from the table, in microseconds: it is gone, or nobody uses it.
+const EXPIRY_US: Micros = 600_000_000;
 
-/// Names a member among all routers: a hash of its name.
+/// Identifies a member among all routers: a hash of its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MemberTag(pub u32);
 
-/// What a member said of itself.
+/// The state that a member reported of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemberState {
     /// Which member.
     pub member: MemberTag,
-    /// Position that it had reached; evidence on its role speaks of that time.
+    /// Position that the member had reached. The role is evidence as of this time.
     pub position: Micros,
-    /// The role that it named.
+    /// The role that the member reported, if any.
     pub role: Option<Role>,
 }
 
-/// What a state changed in the table.
+/// How a state changed the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Update {
-    /// Nothing: as new or newer evidence was known.
+    /// Not at all: evidence at least as new was known.
     Known,
-    /// A newer position of a member whose role is as known.
+    /// The member has a newer position; its role did not change.
     Position,
-    /// The role of a member that was not known, or had told none.
+    /// The first known role of a member: the member was unknown, or had reported no role.
     FirstRole,
-    /// Another role than the one that was known.
+    /// The role of the member changed.
     RoleChange,
 }
 
@@ -43,8 +43,8 @@
 struct Entry {
     position: Micros,
     role: Option<Role>,
-    /// The time that the evidence on its role speaks of.
-    role_at: Micros,
+    /// Time of the evidence for the role.
+    role_evidence_at: Micros,
     heard_at: Micros,
 }
 
@@ -55,16 +55,16 @@
 }
 
 impl StateTable {
-    /// Takes in a state; older evidence changes nothing.
+    /// Merges a state into the table. Older evidence changes nothing.
     pub fn update(&mut self, state: MemberState, now: Micros) -> Update {
         let MemberState { member, position, role } = state;
         if let Some(entry) = self.entries.get_mut(&member) {
             return entry.update(position, role, now);
         }
-        if self.entries.len() >= MOST_MEMBERS {
+        if self.entries.len() >= MAX_MEMBERS {
             return Update::Known;
         }
-        self.entries.insert(member, Entry { position, role, role_at: position, heard_at: now });
+        self.entries.insert(member, Entry { position, role, role_evidence_at: position, heard_at: now });
         if role.is_some() {
             Update::FirstRole
         } else {
@@ -72,25 +72,25 @@
         }
     }
 
-    /// Whether a member is kept.
-    pub fn holds(&self, member: MemberTag) -> bool {
+    /// Whether a member is in the table.
+    pub fn contains(&self, member: MemberTag) -> bool {
         self.entries.contains_key(&member)
     }
 
-    /// The state of a member, as it is spread.
+    /// The newest state of a member, as it is sent to peers.
     pub fn state(&self, member: MemberTag) -> Option<MemberState> {
         let entry = self.entries.get(&member)?;
         Some(MemberState { member, position: entry.position, role: entry.role })
     }
 
-    /// Members whose role is known, in a bucket of the digest.
-    pub fn with_role(&self, bucket: usize) -> impl Iterator<Item = MemberTag> + '_ {
+    /// The members in a bucket of the digest whose role is known.
+    pub fn members_with_role(&self, bucket: usize) -> impl Iterator<Item = MemberTag> + '_ {
         let known =
             self.entries.iter().filter(move |(tag, e)| Digest::bucket(**tag) == bucket && e.role.is_some());
         known.map(|(tag, _)| *tag)
     }
 
-    /// A digest of all roles.
+    /// The digest of all known roles.
     pub fn digest(&self) -> Digest {
         let mut digest = Digest::default();
         for (tag, entry) in &self.entries {
@@ -99,17 +99,17 @@
         digest
     }
 
-    /// Forgets members that nobody speaks of any more.
+    /// Removes members of which nothing was heard for a long time.
     pub fn expire(&mut self, now: Micros) {
-        self.entries.retain(|_, entry| now <= entry.heard_at.saturating_add(MEMORY));
+        self.entries.retain(|_, entry| now <= entry.heard_at.saturating_add(EXPIRY_US));
     }
 
-    /// Members that are kept.
+    /// Number of members in the table.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether none is kept.
+    /// Whether the table has no members.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
@@ -118,16 +118,16 @@
 impl Entry {
     fn update(&mut self, position: Micros, role: Option<Role>, now: Micros) -> Update {
         self.heard_at = now;
-        let newer = position > self.position;
+        let is_newer = position > self.position;
         self.position = self.position.max(position);
-        let Some(role) = role.filter(|_| position > self.role_at || self.role.is_none()) else {
-            return if newer { Update::Position } else { Update::Known };
+        let Some(role) = role.filter(|_| position > self.role_evidence_at || self.role.is_none()) else {
+            return if is_newer { Update::Position } else { Update::Known };
         };
-        self.role_at = position;
+        self.role_evidence_at = position;
         match self.role.replace(role) {
             None => Update::FirstRole,
-            Some(before) if before != role => Update::RoleChange,
-            Some(_) if newer => Update::Position,
+            Some(previous) if previous != role => Update::RoleChange,
+            Some(_) if is_newer => Update::Position,
             Some(_) => Update::Known,
         }
     }
--- a/crates/operator/src/gossip.rs
+++ b/crates/operator/src/gossip.rs
@@ -12,7 +12,7 @@
     let policy = Policy {
         bytes_per_second: gossip.bytes_per_second.unwrap_or(defaults.bytes_per_second),
         fanout: gossip.fanout.unwrap_or(defaults.fanout),
-        round: gossip.round_ms.map_or(defaults.round, |ms| Micros::from(ms) * 1000),
+        round_period: gossip.round_ms.map_or(defaults.round_period, |ms| Micros::from(ms) * 1000),
     };
     let wrong = |field: &str, reason: &str| impossible(file, text, &format!("gossip.{field}"), reason);
     policy.check().map_err(|fault| wrong(fault.field, &fault.reason))?;
