--- a/crates/operator/src/gossip.rs
+++ b/crates/operator/src/gossip.rs
@@ -1,4 +1,4 @@
-//! What the file says of gossip, as its policy.
+//! Converts the `gossip` message of the operator's file to a gossip policy.
 
 use beaconshore::interface::Micros;
 use beaconshore_gossip::Policy;
@@ -6,7 +6,8 @@
 use crate::proto;
 use crate::text::{impossible, Problem};
 
-/// The policy that a file's `gossip` describes, with defaults for what it leaves out; `file` and `text` are for errors.
+/// Converts and validates the `gossip` message of a file. Fields that are left out have their defaults. `file` and
+/// `text` are the name and the content of the file, for errors.
 pub fn gossip(file: &str, text: &str, gossip: &proto::Gossip) -> Result<Policy, Problem> {
     let defaults = Policy::default();
     let policy = Policy {
@@ -14,7 +15,7 @@
         fanout: gossip.fanout.unwrap_or(defaults.fanout),
         round_period: gossip.round_ms.map_or(defaults.round_period, |ms| Micros::from(ms) * 1000),
     };
-    let wrong = |field: &str, reason: &str| impossible(file, text, &format!("gossip.{field}"), reason);
-    policy.check().map_err(|fault| wrong(fault.field, &fault.reason))?;
+    let problem = |field: &str, reason: &str| impossible(file, text, &format!("gossip.{field}"), reason);
+    policy.check().map_err(|error| problem(error.field, &error.reason))?;
     Ok(policy)
 }
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -1,6 +1,8 @@
-//! The operator's file: protobuf text format, decoded and checked. Owns its schema (`proto/operator.proto`), the
-//! defaults, and the errors, which name file, line, column, reason and remedy. Opens no file itself, keeps
-//! nothing, and decides nothing: what it reads becomes the policies of other packages.
+//! Decodes and validates the operator's file, which is in protobuf text format.
+//!
+//! This crate owns the schema (`proto/operator.proto`), the defaults of zones and routes that the schema names, and the
+//! errors, which name file, line, column, reason and remedy. It opens no file and keeps no state: its results are the
+//! policies of other crates.
 
 mod gossip;
 mod routes;
@@ -11,16 +13,16 @@
 pub use routes::routes;
 pub use zones::zones;
 
-/// The messages of the schema.
-#[allow(missing_docs)] // Generated; the schema documents each field.
+/// The messages of the schema, as generated types.
+#[allow(missing_docs)] // Generated types; the schema documents each field.
 pub mod proto {
     include!(concat!(env!("OUT_DIR"), "/beaconshore.operator.rs"));
 }
 
-/// The schema's descriptors, for other schemas that refer to it.
+/// The encoded descriptors of the schema, for other schemas that import it.
 pub const DESCRIPTORS: &[u8] = include_bytes!(concat!(env!("OUT_DIR"), "/operator.bin"));
 
-/// Reads an operator's file; `file` is what errors call it.
+/// Decodes an operator's file. `file` is its name in errors.
 pub fn parse(file: &str, text: &str) -> Result<proto::Operator, text::Problem> {
     text::decode(DESCRIPTORS, "beaconshore.operator.Operator", file, text)
 }
--- a/crates/operator/src/routes.rs
+++ b/crates/operator/src/routes.rs
@@ -1,4 +1,4 @@
-//! What the file says of routes, as their director's policy; all findings at once.
+//! Converts the `routes` message of the operator's file to a policy of routes. All problems are reported at once.
 
 use std::num::NonZeroU32;
 
@@ -9,10 +9,12 @@
 use crate::proto;
 use crate::text::{impossible, Problem};
 
-/// The least burst where none is stated: a tenth of a second's requests.
-const BURST: u32 = 10;
+/// Divisor of a rate for the default burst: the requests of a tenth of a second.
+const DEFAULT_BURST_DIVISOR: u32 = 10;
 
-/// The policy that a file's `routes` describe, at a site of these settings whose classes and zones have these names.
+/// Converts and validates the `routes` message of a file, for a site with these settings. The last argument holds the
+/// names of the settings' classes and zones, by index; `file` and `text` are the name and the content of the file, for
+/// errors.
 pub fn routes(
     file: &str,
     text: &str,
@@ -23,16 +25,16 @@
     let mut problems = Vec::new();
     let mut policy = Policy { routes: Vec::with_capacity(routes.route.len()), open: routes.open };
     for (i, route) in routes.route.iter().enumerate() {
-        let mut wrong = |field: &str, reason: String| {
+        let mut report = |field: &str, reason: String| {
             problems.push(impossible(file, text, &format!("routes.route[{i}].{field}"), &reason));
         };
         let matches = Matcher::parse(&route.r#match).unwrap_or_else(|e| {
-            wrong("match", e.to_string());
-            // Matches nothing, so that no finding follows from it.
+            report("match", e.to_string());
+            // An expression that matches nothing, so that no further problem follows from it.
             Matcher::Not(Box::new(Matcher::Always))
         });
-        let read = read(route, matches, zones, &mut wrong);
-        policy.routes.push(read);
+        let converted = convert_route(route, matches, zones, &mut report);
+        policy.routes.push(converted);
     }
     for finding in policy.findings(settings, classes) {
         problems.push(impossible(file, text, &format!("routes.{}", finding.field), &finding.reason));
@@ -44,28 +46,29 @@
     }
 }
 
-fn read(
+/// Converts one route of the file, whose match was parsed to `matches`.
+fn convert_route(
     route: &proto::Route,
     matches: Matcher,
     zones: &[String],
-    wrong: &mut dyn FnMut(&str, String),
+    report: &mut dyn FnMut(&str, String),
 ) -> Route {
     let micros = |ms: u64| -> Micros { ms.saturating_mul(1000) };
-    let mut numbers = Vec::new();
+    let mut zone_ids = Vec::new();
     for (n, name) in route.zone.iter().enumerate() {
         match zones.iter().position(|z| z == name) {
-            Some(zone) => numbers.push(ZoneId(zone as u16)),
-            None => wrong(
+            Some(zone) => zone_ids.push(ZoneId(zone as u16)),
+            None => report(
                 &format!("zone[{n}]"),
                 format!("no zone {name:?}; the settings name {}", zones.join(", ")),
             ),
         }
     }
     let rate = route.rate.and_then(|rate| {
-        let burst = rate.burst.unwrap_or((rate.per_second / BURST).max(1));
+        let burst = rate.burst.unwrap_or((rate.per_second / DEFAULT_BURST_DIVISOR).max(1));
         let limit = NonZeroU32::new(rate.per_second).zip(NonZeroU32::new(burst));
         if limit.is_none() {
-            wrong("rate", "0 would admit nothing; 1 or more".into());
+            report("rate", "per_second and burst must be 1 or more; 0 would admit no request".into());
         }
         limit.map(|(per_second, burst)| RateLimit { per_second, burst })
     });
@@ -83,7 +86,7 @@
         }),
         weight: route.weight.unwrap_or(1.0),
         staleness: route.staleness_ms.map(micros),
-        zones: numbers,
+        zones: zone_ids,
         ..Route::new(&route.name, matches)
     }
 }
@@ -94,7 +97,8 @@
     use crate::parse;
     use beaconshore::interface::{Class, Consistency, DedupScope, Effect, Limits};
 
-    fn read_text(text: &str) -> Result<Policy, Vec<String>> {
+    /// Parses and converts a file for a site with the classes `view` and `log` and the zones `a` and `b`.
+    fn parse_routes(text: &str) -> Result<Policy, Vec<String>> {
         let class = |consistency, effect| Class {
             consistency,
             effect,
@@ -115,15 +119,16 @@
         let names: [Vec<String>; 2] =
             [["view", "log"].map(String::from).into(), vec!["a".into(), "b".into()]];
         routes("op", text, &file.routes.unwrap(), &settings, (&names[0], &names[1]))
-            .map_err(|found| found.iter().map(ToString::to_string).collect())
+            .map_err(|problems| problems.iter().map(ToString::to_string).collect())
     }
 
+    /// Guards against a field that is lost in the conversion, and against a wrong default.
     #[test]
-    fn fields_reach_the_policy_and_defaults_fill_the_rest() {
+    fn fields_are_converted_and_omitted_fields_have_their_defaults() {
         let text =
             "routes { open: 9 route { name: 'v' match: 'class == \"view\"' budget_ms: 900 attempt_ms: 200
             rate { per_second: 50 } open { most: 7 } repeats { share: 0.2 } zone: 'b' } }";
-        let policy = read_text(text).unwrap();
+        let policy = parse_routes(text).unwrap();
         let route = &policy.routes[0];
         assert_eq!((policy.open, route.budget, route.attempt), (Some(9), Some(900_000), Some(200_000)));
         assert_eq!(route.rate.unwrap().burst.get(), 5);
@@ -131,8 +136,9 @@
         assert_eq!((route.repeats, &route.zones[..]), (Some((0.2, 1.0)), &[ZoneId(1)][..]));
     }
 
+    /// Guards against reporting only the first problem, and against a problem with a wrong place.
     #[test]
-    fn all_that_is_wrong_is_told_at_once_and_where() {
+    fn all_problems_are_reported_at_once_with_their_places() {
         let text = "routes {
   route { name: 'v' match: 'class = \"view\"' }
   route { name: 'w' match: 'class == \"log\"' attempts: 4 attempt_ms: 300 zone: 'q' }
@@ -141,19 +147,19 @@
     match: 'always' budget_ms: 1500 rate { per_second: 0 }
   }
 }";
-        let said = read_text(text).unwrap_err();
+        let messages = parse_routes(text).unwrap_err();
         let expected = [
             "op:2:21: routes.route[0].match: expected == or in\n  class = \"view\"\n        ^",
             "op:3:73: routes.route[1].zone[0]: no zone \"q\"; the settings name a, b",
-            "op:6:37: routes.route[2].rate: 0 would admit nothing",
+            "op:6:37: routes.route[2].rate: per_second and burst must be 1 or more",
             "op:3:45: routes.route[1].attempts: the last attempt may begin 900 ms after the first",
             "op:5:5: routes.route[2].name: route[0] has the same name",
             "op:6:21: routes.route[2].budget_ms: is 1500 ms, but clients of class \"view\" wait 1000 ms at most",
             "op:6:21: routes.route[2].budget_ms: is 1500 ms, but clients of class \"log\" wait 1000 ms at most",
         ];
-        assert_eq!(said.len(), expected.len(), "{said:#?}");
-        for (said, expected) in said.iter().zip(expected) {
-            assert!(said.starts_with(expected), "{said}\n{expected}");
+        assert_eq!(messages.len(), expected.len(), "{messages:#?}");
+        for (message, expected) in messages.iter().zip(expected) {
+            assert!(message.starts_with(expected), "{message}\n{expected}");
         }
     }
 }
--- a/crates/operator/src/text.rs
+++ b/crates/operator/src/text.rs
@@ -1,4 +1,4 @@
-//! Protobuf text format to messages, with the place of whatever can't be used.
+//! Decodes messages in protobuf text format, and finds the place of an invalid value in the text.
 
 use std::fmt;
 
@@ -6,33 +6,33 @@
 use prost::Message;
 use prost_reflect::{DescriptorPool, DynamicMessage};
 
-/// Files beyond this are refused unread, in bytes.
-pub const LONGEST: usize = 1 << 20;
+/// Maximum size of a file, in bytes. Larger files are rejected without decoding.
+pub const MAX_FILE_BYTES: usize = 1 << 20;
 
-/// A place in a file, counted from 1.
+/// A location in a file. Lines and columns count from 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
-    /// Line.
+pub struct Location {
+    /// Line number.
     pub line: usize,
-    /// Column, in characters.
+    /// Column number, in characters.
     pub column: usize,
 }
 
-/// What is wrong with a file, where, and what would be right.
+/// An error in a file, with its place and a remedy.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
-    /// The file.
+    /// Name of the file.
     pub file: String,
-    /// Where, if it is in one place.
-    pub place: Option<Place>,
-    /// Reason and remedy.
+    /// Where the error is, if it has one place.
+    pub place: Option<Location>,
+    /// What is wrong, and what would be valid.
     pub reason: String,
 }
 
 impl fmt::Display for Problem {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.place {
-            Some(Place { line, column }) => write!(f, "{}:{line}:{column}: {}", self.file, self.reason),
+            Some(Location { line, column }) => write!(f, "{}:{line}:{column}: {}", self.file, self.reason),
             None => write!(f, "{}: {}", self.file, self.reason),
         }
     }
@@ -40,7 +40,8 @@
 
 impl std::error::Error for Problem {}
 
-/// Decodes a message of this name by the descriptors of its schema. Unknown fields are errors.
+/// Decodes a text as the message `name` of the schema with these descriptors. Unknown fields are errors. `file` is
+/// the name of the file in errors.
 pub fn decode<M: Message + Default>(
     descriptors: &[u8],
     name: &str,
@@ -48,30 +49,31 @@
     text: &str,
 ) -> Result<M, Problem> {
     let problem = |place, reason| Problem { file: file.into(), place, reason };
-    if text.len() > LONGEST {
-        return Err(problem(None, format!("{} bytes, {LONGEST} at most", text.len())));
+    if text.len() > MAX_FILE_BYTES {
+        return Err(problem(None, format!("the file has {} bytes, {MAX_FILE_BYTES} at most", text.len())));
     }
     let pool = DescriptorPool::decode(descriptors).map_err(|e| problem(None, e.to_string()))?;
     let descriptor = pool.get_message_by_name(name);
     let descriptor = descriptor.ok_or_else(|| problem(None, format!("no message {name} in the schema")))?;
     let message = DynamicMessage::parse_text_format(descriptor, text).map_err(|e| {
         let label = e.labels().and_then(|mut labels| labels.next());
-        let place = label.map(|label| place_of(text, label.offset()));
+        let place = label.map(|label| location_at(text, label.offset()));
         problem(place, e.to_string())
     })?;
     message.transcode_to().map_err(|e| problem(None, e.to_string()))
 }
 
-/// An impossible value in a field such as `zones.zone[1].prefer`, with its place.
+/// An error for an invalid value of a field such as `zones.zone[1].prefer`, with the place of the field.
 pub fn impossible(file: &str, text: &str, field: &str, reason: &str) -> Problem {
-    Problem { file: file.into(), place: locate(text, field), reason: format!("{field}: {reason}") }
+    Problem { file: file.into(), place: locate_field(text, field), reason: format!("{field}: {reason}") }
 }
 
-fn place_of(text: &str, offset: usize) -> Place {
+/// The location of an offset in bytes.
+fn location_at(text: &str, offset: usize) -> Location {
     let before = &text[..text.floor_char_boundary(offset)];
     let line = before.matches('\n').count() + 1;
     let column = before.rsplit('\n').next().unwrap_or("").chars().count() + 1;
-    Place { line, column }
+    Location { line, column }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -82,14 +84,15 @@
     ListOpen,
     ListClose,
     Comma,
-    /// A string.
-    Text,
-    /// A colon, a minus.
-    Sign,
+    /// A quoted string.
+    Quoted,
+    /// A colon or a minus sign.
+    Symbol,
 }
 
-/// The text's tokens with their offsets: no more than is needed to find a field in a text that was decoded.
-fn tokens(text: &str) -> Vec<(usize, Token<'_>)> {
+/// Splits a text into tokens with their offsets. It knows just enough of the format to find a field in a text that was
+/// decoded before.
+fn tokenize(text: &str) -> Vec<(usize, Token<'_>)> {
     let (bytes, mut at, mut found) = (text.as_bytes(), 0, Vec::new());
     while at < bytes.len() {
         let from = at;
@@ -105,7 +108,7 @@
                     at += if bytes[at] == b'\\' { 2 } else { 1 };
                 }
                 at = (at + 1).min(bytes.len());
-                Token::Text
+                Token::Quoted
             }
             b'{' | b'<' => Token::Open,
             b'}' | b'>' => Token::Close,
@@ -113,41 +116,45 @@
             b']' => Token::ListClose,
             b',' | b';' => Token::Comma,
             b if b.is_ascii_alphanumeric() || b == b'_' => {
-                let word = |b: &u8| b.is_ascii_alphanumeric() || matches!(b, b'_' | b'.' | b'-' | b'+');
-                at = from + bytes[from..].iter().take_while(|b| word(b)).count();
+                let is_word = |b: &u8| b.is_ascii_alphanumeric() || matches!(b, b'_' | b'.' | b'-' | b'+');
+                at = from + bytes[from..].iter().take_while(|b| is_word(b)).count();
                 Token::Word(&text[from..at])
             }
-            _ => Token::Sign,
+            _ => Token::Symbol,
         };
         found.push((from, token));
     }
     found
 }
 
-/// Where a field stands in a text that was decoded; the field itself if it has no element of that number.
-pub fn locate(text: &str, field: &str) -> Option<Place> {
-    let step = |part: &str| match part.split_once('[') {
+/// Finds the place of a field in a text that was decoded before. If the text leaves the field out, the result is the
+/// place of the deepest message on its path that is there; `None` if there is none.
+pub fn locate_field(text: &str, field: &str) -> Option<Location> {
+    let parse_part = |part: &str| match part.split_once('[') {
         Some((name, index)) => Some((name.to_owned(), Some(index.strip_suffix(']')?.parse().ok()?))),
         None => Some((part.to_owned(), None)),
     };
-    let path: Vec<(String, Option<usize>)> = field.split('.').map(step).collect::<Option<_>>()?;
-    let tokens = tokens(text);
+    let path: Vec<(String, Option<usize>)> = field.split('.').map(parse_part).collect::<Option<_>>()?;
+    let tokens = tokenize(text);
     let mut best: Option<(usize, usize)> = None;
-    let mut seek = Seek { tokens: &tokens, path: &path, best: &mut best };
-    seek.body(0, 0, true);
-    best.map(|(_, offset)| place_of(text, offset))
+    let mut search = FieldSearch { tokens: &tokens, path: &path, best: &mut best };
+    search.search_message(0, 0, true);
+    best.map(|(_, offset)| location_at(text, offset))
 }
 
-struct Seek<'s, 't> {
+/// A search for a field by its path, in the tokens of a text.
+struct FieldSearch<'s, 't> {
     tokens: &'s [(usize, Token<'t>)],
+    /// Names of the nested fields, with the index of an element where a field is repeated.
     path: &'s [(String, Option<usize>)],
-    /// The deepest part of the path that was found, and where.
+    /// The deepest part of the path that was found: its depth and its offset.
     best: &'s mut Option<(usize, usize)>,
 }
 
-impl Seek<'_, '_> {
-    /// Goes through the fields of one message; `on_path` if it is the one that the path leads through.
-    fn body(&mut self, mut at: usize, depth: usize, on_path: bool) -> usize {
+impl FieldSearch<'_, '_> {
+    /// Searches the fields of one message, starting at the token `at`; `on_path` tells whether the path leads through
+    /// this message. Returns the index of the token after the message.
+    fn search_message(&mut self, mut at: usize, depth: usize, on_path: bool) -> usize {
         let mut seen = 0;
         while let Some(&(offset, token)) = self.tokens.get(at) {
             at += 1;
@@ -158,16 +165,18 @@
                 continue;
             };
             let wanted = self.path.get(depth).filter(|(n, _)| on_path && n == name).map(|(_, index)| *index);
-            at = self.value(at, offset, depth, wanted, &mut seen);
+            at = self.search_value(at, offset, depth, wanted, &mut seen);
         }
         at
     }
 
-    /// Goes through a field's value, or the elements of its list.
-    fn value(
+    /// Searches the value of a field, or the elements of its list. `name_offset` is the offset of the field's name,
+    /// `wanted` the index that the path asks for if the field is on the path, and `seen` counts the elements so far.
+    /// Returns the index of the token after the value.
+    fn search_value(
         &mut self,
         mut at: usize,
-        name: usize,
+        name_offset: usize,
         depth: usize,
         wanted: Option<Option<usize>>,
         seen: &mut usize,
@@ -176,18 +185,18 @@
         while let Some(&(offset, token)) = self.tokens.get(at) {
             at += 1;
             match token {
-                Token::Sign | Token::Comma => continue,
+                Token::Symbol | Token::Comma => continue,
                 Token::ListOpen => in_list = true,
                 Token::ListClose => return at,
                 Token::Close => return at - 1,
-                Token::Open | Token::Word(_) | Token::Text => {
-                    let here = wanted.is_some_and(|index| index.unwrap_or(*seen) == *seen);
+                Token::Open | Token::Word(_) | Token::Quoted => {
+                    let is_match = wanted.is_some_and(|index| index.unwrap_or(*seen) == *seen);
                     *seen += usize::from(wanted.is_some());
-                    if here {
-                        self.found(depth, if in_list { offset } else { name });
+                    if is_match {
+                        self.record_match(depth, if in_list { offset } else { name_offset });
                     }
                     if token == Token::Open {
-                        at = self.body(at, depth + 1, here);
+                        at = self.search_message(at, depth + 1, is_match);
                     }
                     if !in_list {
                         return at;
@@ -198,7 +207,8 @@
         at
     }
 
-    fn found(&mut self, depth: usize, offset: usize) {
+    /// Records a match if it is deeper than the best one so far.
+    fn record_match(&mut self, depth: usize, offset: usize) {
         if self.best.is_none_or(|(d, _)| depth > d) {
             *self.best = Some((depth, offset));
         }
@@ -213,14 +223,19 @@
         "# zones { }\nzones {\n  spill_share: -0.5\n  zone { name: \"a}\" prefer: [\"a\", \"b\"] }\n  \
                         zone <name: 'b'\n    prefer: \"b\" prefer: \"b\" >\n}\n";
 
+    /// Guards against errors that point to a comment, to another element of a repeated field, or to nothing.
     #[test]
-    fn fields_are_found_where_they_stand() {
-        let place = |line, column| Some(Place { line, column });
-        assert_eq!(locate(TEXT, "zones.spill_share"), place(3, 3));
-        assert_eq!(locate(TEXT, "zones.zone[0].prefer[1]"), place(4, 35));
-        assert_eq!(locate(TEXT, "zones.zone[1]"), place(5, 3));
-        assert_eq!(locate(TEXT, "zones.zone[1].prefer[1]"), place(6, 17));
-        assert_eq!(locate(TEXT, "zones.zone[1].capacity"), place(5, 3), "its message, where it is left out");
-        assert_eq!(locate(TEXT, "routes"), None);
+    fn fields_are_located_in_the_text() {
+        let location = |line, column| Some(Location { line, column });
+        assert_eq!(locate_field(TEXT, "zones.spill_share"), location(3, 3));
+        assert_eq!(locate_field(TEXT, "zones.zone[0].prefer[1]"), location(4, 35));
+        assert_eq!(locate_field(TEXT, "zones.zone[1]"), location(5, 3));
+        assert_eq!(locate_field(TEXT, "zones.zone[1].prefer[1]"), location(6, 17));
+        assert_eq!(
+            locate_field(TEXT, "zones.zone[1].capacity"),
+            location(5, 3),
+            "a field that is left out is located at its message"
+        );
+        assert_eq!(locate_field(TEXT, "routes"), None);
     }
 }
--- a/crates/operator/src/zones.rs
+++ b/crates/operator/src/zones.rs
@@ -1,4 +1,4 @@
-//! What the file says of zones, as their planner's policy.
+//! Converts the `zones` message of the operator's file to a policy of zones.
 
 use beaconshore::interface::ZoneId;
 use beaconshore_zones::policy::{Policy, ZonePolicy};
@@ -6,26 +6,27 @@
 use crate::proto;
 use crate::text::{impossible, Problem};
 
-/// The policy that a file's `zones` describe, with defaults for what they leave out. `names` are the zones as the
-/// router's settings number them; `file` and `text` are for errors.
+/// Converts and validates the `zones` message of a file. Fields that are left out have their defaults. `names` are the
+/// zones of the router's settings, by index; `file` and `text` are the name and the content of the file, for errors.
+/// Returns the first problem.
 pub fn zones(file: &str, text: &str, zones: &proto::Zones, names: &[String]) -> Result<Policy, Problem> {
-    let wrong = |field: &str, reason: &str| Err(impossible(file, text, &format!("zones.{field}"), reason));
-    let number = |name: &str| names.iter().position(|n| n == name).map(|index| ZoneId(index as u16));
+    let invalid = |field: &str, reason: &str| Err(impossible(file, text, &format!("zones.{field}"), reason));
+    let zone_id = |name: &str| names.iter().position(|n| n == name).map(|index| ZoneId(index as u16));
     let defaults = Policy::default();
-    let mut stated = Vec::with_capacity(zones.zone.len());
+    let mut configured = Vec::with_capacity(zones.zone.len());
     for (i, zone) in zones.zone.iter().enumerate() {
         let unknown = |name: &str| format!("no zone {name:?}; the settings name {}", names.join(", "));
-        let Some(id) = number(&zone.name) else {
-            return wrong(&format!("zone[{i}].name"), &unknown(&zone.name));
+        let Some(id) = zone_id(&zone.name) else {
+            return invalid(&format!("zone[{i}].name"), &unknown(&zone.name));
         };
         let mut prefer = Vec::with_capacity(zone.prefer.len());
         for (n, name) in zone.prefer.iter().enumerate() {
-            let Some(other) = number(name) else {
-                return wrong(&format!("zone[{i}].prefer[{n}]"), &unknown(name));
+            let Some(other) = zone_id(name) else {
+                return invalid(&format!("zone[{i}].prefer[{n}]"), &unknown(name));
             };
             prefer.push(other);
         }
-        stated.push(ZonePolicy {
+        configured.push(ZonePolicy {
             zone: id,
             name: zone.name.clone(),
             prefer,
@@ -36,7 +37,7 @@
     let micros = |ms: Option<u64>, default| ms.map_or(default, |ms| ms.saturating_mul(1000));
     let policy = Policy {
         number: None,
-        zones: stated,
+        zones: configured,
         spill_share: zones.spill_share.unwrap_or(defaults.spill_share),
         quorum: zones.quorum.unwrap_or(defaults.quorum),
         silence: micros(zones.silence_ms, defaults.silence),
@@ -50,7 +51,7 @@
     };
     match policy.check() {
         Ok(()) => Ok(policy),
-        Err(fault) => wrong(&fault.field.replace("zones[", "zone["), &fault.reason),
+        Err(fault) => invalid(&fault.field.replace("zones[", "zone["), &fault.reason),
     }
 }
 
@@ -61,23 +62,27 @@
 
     const NAMES: [&str; 2] = ["east", "west"];
 
-    fn read(text: &str) -> Result<Policy, String> {
+    /// Parses and converts a file for a site with the zones `east` and `west`.
+    fn parse_zones(text: &str) -> Result<Policy, String> {
         let names: Vec<String> = NAMES.map(String::from).into();
         let file = parse("op.textproto", text).map_err(|e| e.to_string())?;
         zones("op.textproto", text, &file.zones.unwrap_or_default(), &names).map_err(|e| e.to_string())
     }
 
+    /// Guards against a field that is lost in the conversion, and against a wrong default.
     #[test]
-    fn what_is_left_out_has_its_default() {
-        let policy =
-            read("zones { zone { name: 'west' capacity: 12 prefer: ['west', 'east'] } dwell_ms: 800 }");
+    fn fields_are_converted_and_omitted_fields_have_their_defaults() {
+        let policy = parse_zones(
+            "zones { zone { name: 'west' capacity: 12 prefer: ['west', 'east'] } dwell_ms: 800 }",
+        );
         let policy = policy.unwrap();
         assert_eq!((policy.dwell, policy.hold), (800_000, Policy::default().hold));
         assert_eq!(policy.of(ZoneId(1)).unwrap().prefer, [ZoneId(1), ZoneId(0)]);
     }
 
+    /// Guards against an example file whose values differ from the defaults that it claims to show.
     #[test]
-    fn the_shipped_example_holds_the_defaults() {
+    fn the_shipped_example_states_the_defaults() {
         let text = include_str!("../../../deploy/operator.textproto");
         let names: Vec<String> = ["a", "b", "c"].map(String::from).into();
         let file = parse("operator.textproto", text).unwrap();
@@ -86,8 +91,9 @@
         assert_eq!(Policy { zones: Vec::new(), ..policy }, Policy::default());
     }
 
+    /// Guards against accepting an invalid file, and against an error with a wrong place or reason.
     #[test]
-    fn what_cannot_be_meant_is_refused_with_place_and_reason() {
+    fn an_invalid_file_is_rejected_with_place_and_reason() {
         let cases = [
             (
                 "zones {\n  zone { name: 'north' } }",
@@ -110,8 +116,8 @@
             ),
         ];
         for (text, expected) in cases {
-            let said = read(text).unwrap_err();
-            assert!(said.starts_with(expected), "{text:?}: {said}");
+            let message = parse_zones(text).unwrap_err();
+            assert!(message.starts_with(expected), "{text:?}: {message}");
         }
     }
 }
