--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -1,8 +1,8 @@
 //! Decodes and validates the operator's file, which is in protobuf text format.
 //!
-//! This crate owns the schema (`proto/operator.proto`), the defaults of zones and routes that the schema names, and the
-//! errors, which name file, line, column, reason and remedy. It opens no file and keeps no state: its results are the
-//! policies of other crates.
+//! This crate owns the schema (`proto/operator.proto`), fills in the defaults that the schema states, and owns the errors,
+//! which name file, line, column, reason and remedy. It opens no file, keeps no state and makes no decision: its results
+//! are the policies of other crates.
 
 mod gossip;
 mod routes;
