--- a/crates/driver/src/module/mod.rs
+++ b/crates/driver/src/module/mod.rs
@@ -1,7 +1,8 @@
-//! The module's actor: it owns the decision module with its planners and the table of open requests. Here alone messages become
-//! events and actions become messages. What is open is kept by `requests`, without I/O.
+//! The actor around the decision module. It owns the decision module with its planners and the table of open
+//! requests (`requests`, which does no I/O), and is the only place where messages from other actors become
+//! events of the decision module and its actions become messages to other actors.
 
-pub mod mail;
+pub mod message;
 pub mod requests;
 
 use std::collections::hash_map::Entry::Occupied;
@@ -31,195 +32,212 @@
 use crate::stats::Counter;
 use crate::Node;
 
-pub use mail::{Arrival, Confirmed, Login, Mail, ModuleHandle, Statement};
+pub use message::{Arrival, Confirmed, Login, Mail, ModuleHandle, Statement};
 use requests::{Arrived, Open, Requests, Sending};
 
-/// Lists that may wait; discovery waits with more, the module never waits for discovery.
-const LISTS: usize = 4;
-/// Datagrams that may wait; further ones are dropped, as datagrams may be.
-const DATAGRAMS: usize = 64;
-/// Overdue requests are looked for this often.
-const SWEEP: Micros = 100_000;
-struct Known {
-    /// What the list calls it.
+/// Membership lists that the mailbox holds. Discovery waits when it is full, so that the decision module
+/// never waits for discovery.
+const LIST_MAILBOX_CAPACITY: usize = 4;
+/// Messages from other drivers that the mailbox holds. Further ones are dropped, which datagrams tolerate.
+const PEER_MAILBOX_CAPACITY: usize = 64;
+/// Interval in microseconds at which overdue requests are looked for.
+const SWEEP_INTERVAL_US: Micros = 100_000;
+/// A member that the membership list has named.
+struct KnownMember {
+    /// Its name in the membership list.
     name: Rc<str>,
-    /// What drivers call it among each other.
+    /// The tag by which drivers refer to it in messages to each other.
     tag: MemberTag,
     address: SocketAddr,
-    /// Its actor, once there was mail for it.
+    /// Its actor, which is started by the first message to it.
     actor: Option<Sender<MemberMail>>,
 }
 
-/// The module's actor.
+/// The actor that runs the decision module.
 pub struct Module {
     node: Rc<Node>,
     router: Steering,
-    mail: Receiver<Mail>,
+    mailbox: Receiver<Mail>,
     lists: Receiver<Listing>,
-    words: Receiver<(u32, PeerMessage)>,
+    /// Messages from other drivers, each with the number of the driver that sent it.
+    peer_messages: Receiver<(u32, PeerMessage)>,
     handle: ModuleHandle,
     peers: Option<Sender<Outgoing>>,
     transport: Rc<dyn MemberTransport>,
-    open: Requests<Sender<ClientMail>>,
-    /// Members by their ids here, until the decision module forgets them.
-    members: HashMap<MemberId, Known>,
+    open_requests: Requests<Sender<ClientMail>>,
+    /// Members by the id that this driver gave them, until the decision module forgets them.
+    members: HashMap<MemberId, KnownMember>,
+    /// Ids by the members' names in the membership list.
     ids: HashMap<Rc<str>, MemberId>,
-    /// Members by what drivers call them among each other: hundreds of drivers tell of one a thousand times a second.
+    /// Members by tag. Hundreds of drivers may send a thousand states of one member in a second, so that the
+    /// lookup has to be cheap. Tags are hashes of names: two members may share one.
     tags: HashMap<MemberTag, Vec<MemberId>>,
-    /// How many members were ever listed: no id is given twice.
-    listed: u32,
-    due: Option<Instant>,
-    swept: Micros,
+    /// How many ids were given to members. No id is given twice.
+    ids_assigned: u32,
+    /// When the decision module's timer is due.
+    timer_at: Option<Instant>,
+    /// When overdue requests were looked for last.
+    last_sweep: Micros,
 }
 
 impl Module {
-    /// The actor, and the way to it.
+    /// Creates the actor and the handle that reaches it.
     pub fn new(
         node: Rc<Node>,
         config: &Config,
         peers: Option<&Peers>,
         transport: Rc<dyn MemberTransport>,
     ) -> (Self, ModuleHandle) {
-        let (mail_sender, mail) = async_channel::unbounded();
-        let (list_sender, lists) = async_channel::bounded(LISTS);
-        let (word_sender, words) = async_channel::bounded(DATAGRAMS);
-        let handle = ModuleHandle { mail: mail_sender, lists: list_sender, words: word_sender };
+        let (mailbox_sender, mailbox) = async_channel::unbounded();
+        let (list_sender, lists) = async_channel::bounded(LIST_MAILBOX_CAPACITY);
+        let (peer_message_sender, peer_messages) = async_channel::bounded(PEER_MAILBOX_CAPACITY);
+        let handle =
+            ModuleHandle { mailbox: mailbox_sender, lists: list_sender, peer_messages: peer_message_sender };
         let router = {
             let (settings, plans) = (node.site.settings.clone(), config.plans.clone());
             Steering::new(settings, plans, config.seed, node.clock.now())
         };
-        let (open, members, ids, tags, listed, due, swept) = Default::default();
-        let (peers, given) = (peers.map(Peers::mailbox), handle.clone());
-        let module = Module {
+        let (open_requests, members, ids, tags, ids_assigned, timer_at, last_sweep) = Default::default();
+        let (peers, returned_handle) = (peers.map(Peers::mailbox), handle.clone());
+        let actor = Module {
             node,
             router,
-            mail,
+            mailbox,
             lists,
-            words,
+            peer_messages,
             handle,
             peers,
             transport,
-            open,
+            open_requests,
             members,
             ids,
             tags,
-            listed,
-            due,
-            swept,
+            ids_assigned,
+            timer_at,
+            last_sweep,
         };
-        (module, given)
+        (actor, returned_handle)
     }
 
-    /// Starts from the list last known, and handles all that comes.
-    pub async fn run(mut self, known: Listing) {
-        enum Next {
+    /// Runs the actor, starting from the cached membership list.
+    pub async fn run(mut self, cached: Listing) {
+        enum Wake {
             List(Listing),
             Mail(Mail),
-            Words(u32, PeerMessage),
+            PeerMessage(u32, PeerMessage),
             Timer,
         }
-        self.on_list(ListKind::Cached, known);
-        let (lists, mail, words) = (self.lists.clone(), self.mail.clone(), self.words.clone());
+        self.on_list(ListKind::Cached, cached);
+        let (lists, mailbox, peer_messages) =
+            (self.lists.clone(), self.mailbox.clone(), self.peer_messages.clone());
         let node = self.node.clone();
         let mut timer = Timer::never();
-        let mut set = None;
+        let mut armed_at = None;
         loop {
-            if set != self.due {
-                set = self.due;
-                match set {
+            if armed_at != self.timer_at {
+                armed_at = self.timer_at;
+                match armed_at {
                     Some(at) => timer.set_at(at),
                     None => timer = Timer::never(),
                 }
             }
-            let list = async { lists.recv().await.map(Next::List) };
-            let due = async {
+            let list = async { lists.recv().await.map(Wake::List) };
+            let timer_due = async {
                 (&mut timer).await;
-                Ok(Next::Timer)
+                Ok(Wake::Timer)
             };
-            let mail = async { mail.recv().await.map(Next::Mail) };
-            let words = async { words.recv().await.map(|(from, mail)| Next::Words(from, mail)) };
-            // What binds goes first; a timer that is due is not to wait for an empty mailbox.
-            match future::or(list, future::or(due, future::or(mail, words))).await {
+            let next_message = async { mailbox.recv().await.map(Wake::Mail) };
+            let peer_message =
+                async { peer_messages.recv().await.map(|(from, message)| Wake::PeerMessage(from, message)) };
+            // A membership list goes first, since it may forbid sends; a timer that is due does not wait
+            // until the mailbox is empty.
+            match future::or(list, future::or(timer_due, future::or(next_message, peer_message))).await {
                 Err(_) => return,
-                Ok(Next::List(listing)) => {
+                Ok(Wake::List(listing)) => {
                     let kind = if listing.reset { ListKind::Full } else { ListKind::Delta };
                     node.meter.measure(Work::List, || self.on_list(kind, listing));
                 }
-                Ok(Next::Mail(mail)) => node.meter.measure(Work::Traffic, || self.on_mail(mail)),
-                Ok(Next::Words(from, mail)) => {
-                    node.meter.measure(Work::PeerMessages, || self.on_peer(from, mail));
+                Ok(Wake::Mail(message)) => node.meter.measure(Work::Traffic, || self.on_message(message)),
+                Ok(Wake::PeerMessage(from, message)) => {
+                    node.meter.measure(Work::PeerMessages, || self.on_peer_message(from, message));
                 }
-                Ok(Next::Timer) => {
-                    (self.due, set) = (None, None);
+                Ok(Wake::Timer) => {
+                    (self.timer_at, armed_at) = (None, None);
                     if self.node.stalls.beat(self.node.clock.now()) {
                         self.node.stats.count(Counter::Standstills);
                     }
                     node.meter.measure(Work::Timer, || {
                         self.handle(&Event::Timer);
-                        self.sweep();
+                        self.sweep_overdue();
                     });
                 }
             }
         }
     }
 
-    fn on_mail(&mut self, mail: Mail) {
-        match mail {
+    fn on_message(&mut self, message: Mail) {
+        match message {
             Mail::Request(arrival) => self.on_request(*arrival),
-            Mail::HungUp(id) => self.on_hang_up(id),
-            Mail::AttemptEnded(end) => self.on_end(*end),
+            Mail::HungUp(id) => self.on_request_abandoned(id),
+            Mail::AttemptEnded(end) => self.on_attempt_end(*end),
             Mail::ProbeEnded(member, outcome, mut report) => {
                 report.position = report.position.map(|p| self.node.skew.ours(p));
                 self.handle(&Event::ProbeEnded { member, outcome, report });
             }
-            Mail::Finish => self.finish(),
+            Mail::Finish => self.fail_open_requests(),
             Mail::Routes(policy) => self.router.reload_routes(policy, self.node.clock.now()),
             Mail::Confirm(request, member, reply) => {
                 let (at, lists) = (self.node.clock.now(), self.node.lists.get());
-                // A client that has gone may not have been heard of here yet.
-                let allowed = self.open.is_wanted(request) && self.router.confirm(at, request, member);
+                // The client may have left without the message about it being read yet: the cancel flag
+                // tells.
+                let allowed =
+                    self.open_requests.is_wanted(request) && self.router.confirm(at, request, member);
                 let _ = reply.try_send(Confirmed { allowed, at, lists });
             }
         }
     }
 
-    fn on_peer(&mut self, from: u32, mail: PeerMessage) {
-        match mail {
-            PeerMessage::MemberStates(words) => {
-                let words: Vec<MemberUpdate> = words.iter().filter_map(|w| self.word(w)).collect();
-                self.handle(&Event::PeerUpdates(words));
+    fn on_peer_message(&mut self, from: u32, message: PeerMessage) {
+        match message {
+            PeerMessage::MemberStates(states) => {
+                let updates: Vec<MemberUpdate> =
+                    states.iter().filter_map(|state| self.to_member_update(state)).collect();
+                self.handle(&Event::PeerUpdates(updates));
             }
             PeerMessage::Loans(mut loans) => {
                 loans.iter_mut().for_each(|loan| loan.until = self.node.skew.ours(loan.until));
                 self.handle(&Event::SpillLoans(from, loans));
             }
-            // Compared by the peers' actor.
+            // The peers' actor compares digests itself.
             PeerMessage::Digest(_) => {}
         }
     }
 
-    // ---- Messages to events ----
+    // ---- Turning messages into events ----
 
+    /// Passes a membership list or a change of it to the decision module.
     fn on_list(&mut self, kind: ListKind, listing: Listing) {
         self.node.stats.count(Counter::Lists);
         self.node.lists.set(self.node.lists.get() + 1);
-        // What is gone and not known tells nothing.
-        let says =
+        // An instance that is gone and was never known is skipped.
+        let is_relevant =
             |i: &Instance| i.lifecycle != Lifecycle::Gone || self.ids.contains_key(i.instance_id.as_str());
-        let instances: Vec<Instance> = listing.instances.into_iter().filter(says).collect();
-        let entries: Vec<Entry> = instances.into_iter().map(|i| self.entry(i)).collect();
+        let instances: Vec<Instance> = listing.instances.into_iter().filter(is_relevant).collect();
+        let entries: Vec<Entry> = instances.into_iter().map(|i| self.register_instance(i)).collect();
         self.handle(&Event::List(kind, &entries));
     }
 
-    fn entry(&mut self, instance: Instance) -> Entry {
+    /// Gives the instance's member an id if it has none, notes its address, and builds its entry for the
+    /// decision module.
+    fn register_instance(&mut self, instance: Instance) -> Entry {
         let address = instance.host_port;
         let member = match self.ids.get(instance.instance_id.as_str()) {
             Some(&id) => id,
             None => {
-                let (id, name) = (MemberId(self.listed), Rc::<str>::from(instance.instance_id));
-                self.listed += 1;
+                let (id, name) = (MemberId(self.ids_assigned), Rc::<str>::from(instance.instance_id));
+                self.ids_assigned += 1;
                 let tag = peers::tag(&name);
-                self.members.insert(id, Known { name: name.clone(), tag, address, actor: None });
+                self.members.insert(id, KnownMember { name: name.clone(), tag, address, actor: None });
                 self.ids.insert(name, id);
                 self.tags.entry(tag).or_default().push(id);
                 id
@@ -246,14 +264,15 @@
         }
     }
 
+    /// Opens a request and passes it to the decision module, by way of the routes if there are any.
     fn on_request(&mut self, arrival: Arrival) {
         let now = self.node.clock.now();
         let Arrival { id, class, session, ends, repeat, statement, client, login, cancel_flag, .. } = arrival;
-        let text = self.router.is_routed().then(|| statement.clone());
-        match self.open.arrive(id, client, statement, ends, cancel_flag) {
+        let routed = self.router.is_routed().then(|| statement.clone());
+        match self.open_requests.arrive(id, client, statement, ends, cancel_flag) {
             Arrived::Taken => {}
             Arrived::Left => return self.node.stats.count(Counter::HungUp),
-            Arrived::Twice => self.node.stats.check(false, "a request is taken once"),
+            Arrived::Twice => self.node.stats.check(false, "a request is accepted once"),
         }
         let request = Request {
             id,
@@ -266,39 +285,47 @@
                 .after
                 .map(|ms| now.saturating_sub(self.node.skew.ours(ms.saturating_mul(1000)))),
         };
-        let Some(text) = text else { return self.handle_at(now, &Event::Request(request)) };
+        let Some(routed) = routed else { return self.handle_at(now, &Event::Request(request)) };
         let connection = Connection { client: login.address, user: &login.user, database: &login.database };
         let mut actions = Vec::new();
-        self.router.request(now, &request, connection, pg::statement(&text.text), &mut actions);
-        actions.into_iter().for_each(|action| self.perform(now, action));
+        self.router.request(now, &request, connection, pg::statement(&routed.text), &mut actions);
+        actions.into_iter().for_each(|action| self.execute(now, action));
     }
 
-    fn on_hang_up(&mut self, id: RequestId) {
-        // Its answer may have been on the way.
-        let Some(out) = self.open.leave(id) else { return };
+    /// Ends the attempt of a request whose client has left, and tells the decision module.
+    fn on_request_abandoned(&mut self, id: RequestId) {
+        // The request is no longer open if its answer crossed this message.
+        let Some(in_flight_at) = self.open_requests.leave(id) else { return };
         self.node.stats.count(Counter::HungUp);
-        if let Some(member) = out {
-            self.mail_member(member, MemberMail::Cancel(id));
+        if let Some(member) = in_flight_at {
+            self.send_to_member(member, MemberMail::Cancel(id));
         }
         self.handle(&Event::HungUp(id));
     }
 
-    /// Fails what is open: nothing is promised of it.
-    fn finish(&mut self) {
-        for (id, open) in self.open.finish() {
-            open.out.into_iter().for_each(|member| self.mail_member(member, MemberMail::Cancel(id)));
+    /// Fails all open requests: whether their statements ran is not known.
+    fn fail_open_requests(&mut self) {
+        for (id, open_request) in self.open_requests.finish() {
+            open_request
+                .out
+                .into_iter()
+                .for_each(|member| self.send_to_member(member, MemberMail::Cancel(id)));
             self.handle(&Event::HungUp(id));
             self.node.stats.count(Counter::Failed);
-            if !open.tried {
+            if !open_request.tried {
                 self.node.stats.count(Counter::Untried);
             }
-            let _ = open.client.try_send(ClientMail::Answer(id, Answer::Failed));
+            let _ = open_request.client.try_send(ClientMail::Answer(id, Answer::Failed));
         }
     }
 
-    fn on_end(&mut self, end: AttemptEnd) {
+    /// Counts the end of an attempt, answers its request if a member served it, and tells the decision
+    /// module.
+    fn on_attempt_end(&mut self, end: AttemptEnd) {
         let AttemptEnd { request, member, outcome, served, told, took } = end;
-        self.node.stats.check(self.open.ended(request, member), "an attempt that ends was out");
+        self.node
+            .stats
+            .check(self.open_requests.ended(request, member), "an attempt that ends was in flight");
         let counter = match outcome {
             Outcome::Error => Some(Counter::Errors),
             Outcome::Full => Some(Counter::TurnedAway),
@@ -307,14 +334,14 @@
             Outcome::Reset => Some(Counter::Resets),
             Outcome::TimedOut => Some(Counter::TimedOut),
             Outcome::Moot => Some(Counter::Unsent),
-            // Counted with the request.
+            // Counted with the request instead.
             Outcome::Served | Outcome::Cancelled => None,
         };
         counter.into_iter().for_each(|counter| self.node.stats.count(counter));
         if outcome == Outcome::Served {
             self.answer(request, Answer::Served(served));
         }
-        let finished = !self.open.is_open(request);
+        let finished = !self.open_requests.is_open(request);
         let (mut note, mut report) = (told.note, told.report);
         if let Some(at) = note.position.filter(|_| note.role == Some(Role::Primary)) {
             self.compare_clocks(at);
@@ -325,21 +352,25 @@
         self.handle(&Event::AttemptEnded(Ended { request, member, outcome, note, took, finished, report }));
     }
 
-    /// A primary said that it was this time just now.
-    fn compare_clocks(&self, at: Micros) {
-        if self.node.skew.sample(at, self.node.clock.now()) {
-            warn!("this machine's clock is {} ms ahead of the members'", self.node.skew.difference() / 1000);
+    /// Compares this machine's clock with the time that a primary just reported as its position.
+    fn compare_clocks(&self, primary_time: Micros) {
+        if self.node.skew.sample(primary_time, self.node.clock.now()) {
+            warn!(
+                "this machine's clock is {} ms ahead of the members' clocks; check its time synchronization",
+                self.node.skew.difference() / 1000
+            );
         }
     }
 
-    /// What a peer said, if it is plain of which member.
-    fn word(&self, word: &MemberState) -> Option<MemberUpdate> {
-        let [member] = self.tags.get(&word.member)?[..] else { return None };
-        Some(MemberUpdate { member, position: self.node.skew.ours(word.position), role: word.role })
+    /// A state that a peer sent, as an update of a member. None if no member, or more than one, has its tag.
+    fn to_member_update(&self, state: &MemberState) -> Option<MemberUpdate> {
+        let [member] = self.tags.get(&state.member)?[..] else { return None };
+        Some(MemberUpdate { member, position: self.node.skew.ours(state.position), role: state.role })
     }
 
-    // ---- Actions to messages ----
+    // ---- Turning actions into messages ----
 
+    /// Passes an event to the decision module and executes the actions that it returns.
     fn handle(&mut self, event: &Event) {
         self.handle_at(self.node.clock.now(), event);
     }
@@ -347,48 +378,50 @@
     fn handle_at(&mut self, now: Micros, event: &Event) {
         let mut actions = Vec::new();
         self.router.handle(now, event, &mut actions);
-        actions.into_iter().for_each(|action| self.perform(now, action));
+        actions.into_iter().for_each(|action| self.execute(now, action));
     }
 
-    fn perform(&mut self, now: Micros, action: Action) {
+    fn execute(&mut self, now: Micros, action: Action) {
         match action {
             Action::Send { request, member, wait } => self.send(now, request, member, wait),
             Action::Refuse { request, retry_after } => self.answer(request, Answer::Refused(retry_after)),
             Action::Fail(request) => self.answer(request, Answer::Failed),
-            Action::CloseIdle(member) => self.mail_member(member, MemberMail::CloseIdle),
-            Action::Probe(member) => self.mail_member(member, MemberMail::Probe),
+            Action::CloseIdle(member) => self.send_to_member(member, MemberMail::CloseIdle),
+            Action::Probe(member) => self.send_to_member(member, MemberMail::Probe),
             Action::Forget(member) => self.forget(member),
-            Action::TellPeers(words) => self.tell(&words),
+            Action::TellPeers(updates) => self.send_updates(&updates),
             Action::SpillLoans(loans) => self.send_loans(loans),
             Action::SetTimer(after) => {
-                self.due = Some(self.node.clock.instant(now + after));
+                self.timer_at = Some(self.node.clock.instant(now + after));
                 self.node.stalls.expect(now, now + after);
             }
-            // The watch is always on.
+            // The membership list is watched at all times, so that there is nothing to do.
             Action::Subscribe => {}
             Action::Log(line) => info!("{line}"),
         }
     }
 
+    /// Starts an attempt of a request at a member.
     fn send(&mut self, now: Micros, request: RequestId, member: MemberId, wait: Micros) {
-        let Some(sending) = self.open.send(request, member, wait, now) else {
-            return self.node.stats.check(false, "what is sent is open");
+        let Some(sending) = self.open_requests.send(request, member, wait, now) else {
+            return self.node.stats.check(false, "an attempt is sent only for an open request");
         };
-        self.node.stats.check(sending.alone, "a request has one attempt out");
+        self.node.stats.check(sending.alone, "a request has at most one attempt in flight");
         let Sending { statement, ends, cancel_flag, .. } = sending;
         let attempt =
             Attempt { request, statement, ends, sent: now, lists: self.node.lists.get(), cancel_flag };
-        self.mail_member(member, MemberMail::Attempt(attempt));
+        self.send_to_member(member, MemberMail::Attempt(attempt));
     }
 
+    /// Sends a request's final answer to its client.
     fn answer(&mut self, request: RequestId, answer: Answer) {
-        // A hang-up may have crossed an answer.
-        let Some(Open { client, tried, out, .. }) = self.open.answer(request) else { return };
+        // The request is no longer open if its client left meanwhile.
+        let Some(Open { client, tried, out, .. }) = self.open_requests.answer(request) else { return };
         let stats = &self.node.stats;
         if !tried {
             stats.count(Counter::Untried);
         }
-        stats.check(out.is_none(), "no attempt is out when its request is answered");
+        stats.check(out.is_none(), "no attempt is in flight when its request is answered");
         stats.count(match answer {
             Answer::Served(_) => Counter::Served,
             Answer::Refused(_) => Counter::Refused,
@@ -397,44 +430,51 @@
         let _ = client.try_send(ClientMail::Answer(request, answer));
     }
 
-    fn mail_member(&mut self, member: MemberId, mail: MemberMail) {
+    /// Sends a message to a member's actor, which is started if it does not run yet.
+    fn send_to_member(&mut self, member: MemberId, message: MemberMail) {
         let Some(known) = self.members.get_mut(&member) else {
-            return self.node.stats.check(false, "a member that gets mail is known");
+            return self.node.stats.check(false, "a member that is sent a message is known");
         };
         let start = || self.transport.start(&self.node, &self.handle, member, known.address);
-        let _ = known.actor.get_or_insert_with(start).try_send(mail);
+        let _ = known.actor.get_or_insert_with(start).try_send(message);
     }
 
-    /// Gives back all that belongs to a member that left for good.
+    /// Removes all that is kept for a member that has left for good, and stops its actor.
     fn forget(&mut self, member: MemberId) {
         let Some(known) = self.members.remove(&member) else { return };
         self.ids.remove(&known.name);
-        if let Occupied(mut named) = self.tags.entry(known.tag) {
-            named.get_mut().retain(|id| *id != member);
-            if named.get().is_empty() {
-                named.remove();
+        if let Occupied(mut same_tag) = self.tags.entry(known.tag) {
+            same_tag.get_mut().retain(|id| *id != member);
+            if same_tag.get().is_empty() {
+                same_tag.remove();
             }
         }
         known.actor.iter().for_each(|actor| drop(actor.try_send(MemberMail::End)));
     }
 
-    fn tell(&mut self, words: &[MemberUpdate]) {
+    /// Sends members' states to the other drivers.
+    fn send_updates(&mut self, updates: &[MemberUpdate]) {
         let Some(peers) = &self.peers else { return };
-        let named = words.iter().filter_map(|w| Some((w, self.members.get(&w.member)?)));
-        // Drivers tell each other the members' time: their own clocks may differ.
-        let theirs = |w: &MemberUpdate| self.node.skew.theirs(w.position);
-        let words =
-            named.map(|(w, known)| MemberState { member: known.tag, position: theirs(w), role: w.role });
-        let message = PeerMessage::MemberStates(words.collect());
+        let known_updates =
+            updates.iter().filter_map(|update| Some((update, self.members.get(&update.member)?)));
+        // Drivers exchange times of the members' clocks, since their own clocks may differ.
+        let theirs = |update: &MemberUpdate| self.node.skew.theirs(update.position);
+        let states = known_updates.map(|(update, known)| MemberState {
+            member: known.tag,
+            position: theirs(update),
+            role: update.role,
+        });
+        let message = PeerMessage::MemberStates(states.collect());
         if peers.try_send(Outgoing { to: None, message }).is_err() {
             self.node.stats.count(Counter::Dropped);
         }
     }
 
+    /// Sends spill loans to the other drivers.
     fn send_loans(&mut self, mut loans: Vec<SpillLoan>) {
         let Some(peers) = &self.peers else { return };
         loans.iter_mut().for_each(|loan| loan.until = self.node.skew.theirs(loan.until));
-        // What is lent goes to its borrower only.
+        // A loan is sent only to the driver that borrows.
         let mut by_driver: BTreeMap<Option<u32>, Vec<SpillLoan>> = BTreeMap::new();
         loans.into_iter().for_each(|loan| by_driver.entry(loan.to).or_default().push(loan));
         for (to, loans) in by_driver {
@@ -445,18 +485,19 @@
         }
     }
 
-    /// The module answers every request before its time; should it ever fail to, the client is still told.
-    fn sweep(&mut self) {
+    /// Records table sizes and zone states for the log, and fails requests that were not answered by their
+    /// deadline. The decision module answers each in time; should it fail to, the client still gets an answer.
+    fn sweep_overdue(&mut self) {
         let now = self.node.clock.now();
-        if now < self.swept + SWEEP {
+        if now < self.last_sweep + SWEEP_INTERVAL_US {
             return;
         }
-        self.swept = now;
+        self.last_sweep = now;
         self.node.stats.note(self.router.sizes());
         self.node.stats.note_zones(self.router.zones(now));
-        for id in self.open.overdue(now) {
-            warn!("request {} was not decided in time", id.0);
-            self.node.stats.check(false, "every request is answered in time");
+        for id in self.open_requests.overdue(now) {
+            warn!("request {} got no decision before its deadline; answering it as failed", id.0);
+            self.node.stats.check(false, "every request is answered before its deadline");
             self.handle_at(now, &Event::HungUp(id));
             self.answer(id, Answer::Failed);
         }
--- a/crates/driver/src/module/requests.rs
+++ b/crates/driver/src/module/requests.rs
@@ -1,60 +1,62 @@
-//! The requests that are open, without I/O: arrivals, departures, sends and ends come in, in whatever order; what is still to
-//! be done for each comes out.
+//! The table of open requests, without I/O. Arrivals, departures of clients, sends and ends of attempts come
+//! in, in any order; what remains to be done for each request comes out.
 //!
-//! Owns who waits for which request, and where its attempt is. Decides nothing about where it goes: it holds that each is
-//! taken once, has one attempt out, and gets one final answer.
+//! Owns who waits for which request and at which member its attempt is. It does not decide where a request
+//! goes; it makes sure that each request is accepted once, has at most one attempt in flight, and gets one
+//! final answer.
 
 use std::collections::HashMap;
 use std::rc::Rc;
 
 use beaconshore::interface::{MemberId, Micros, RequestId};
 
-use super::mail::Statement;
+use super::message::Statement;
 use crate::client::CancelFlag;
 
-/// An answer owed for this long after its time is overdue.
-const OVERDUE: Micros = 20_000;
+/// A request without an answer is overdue this many microseconds after its deadline.
+const OVERDUE_AFTER_US: Micros = 20_000;
 
 /// An open request.
 pub struct Open<C> {
-    /// Where the answer goes.
+    /// Where the answer is sent.
     pub client: C,
-    /// What a member is to be sent.
+    /// The statement to send to a member.
     pub statement: Rc<Statement>,
-    /// When its client gives up.
+    /// The deadline, after which the client no longer waits.
     pub ends: Micros,
-    /// Whether its client still waits.
+    /// Tells whether the client still waits.
     pub cancel_flag: CancelFlag,
     /// Whether any attempt was made.
     pub tried: bool,
-    /// Where the attempt is that is out.
+    /// The member at which an attempt is in flight.
     pub out: Option<MemberId>,
 }
 
-/// What became of an arrival.
+/// The result of adding a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Arrived {
-    /// It is open now.
+    /// The request is open now.
     Taken,
-    /// Its client had left while it waited in a mailbox: the word of that is behind, and finds nothing.
+    /// The client left while the request waited in a mailbox. The message about that follows and finds no
+    /// open request.
     Left,
-    /// Its id is another one's: a fault of this program.
+    /// The id belongs to another open request, which is a bug in this program.
     Twice,
 }
 
-/// An attempt that may be made.
+/// An attempt that may be sent.
 pub struct Sending {
-    /// What is sent.
+    /// The statement to send.
     pub statement: Rc<Statement>,
-    /// When its time is over.
+    /// The attempt's deadline.
     pub ends: Micros,
-    /// Whether its client still waits.
+    /// Tells whether the client still waits.
     pub cancel_flag: CancelFlag,
-    /// Whether none was out: else this is a fault of this program.
+    /// Whether no other attempt was in flight; if one was, that is a bug in this program.
     pub alone: bool,
 }
 
-/// The open requests, each with the way to its client.
+/// The open requests, each with the way to reach its client.
 pub struct Requests<C> {
     open: HashMap<RequestId, Open<C>>,
 }
@@ -66,7 +68,7 @@
 }
 
 impl<C> Requests<C> {
-    /// A request comes.
+    /// Adds a request.
     pub fn arrive(
         &mut self,
         id: RequestId,
@@ -84,12 +86,14 @@
         }
     }
 
-    /// Its client has left: where its attempt is to be ended; none if it is not open any more.
+    /// Removes a request whose client has left. Returns the member at which its attempt has to be cancelled,
+    /// if any; None if the request is not open any more.
     pub fn leave(&mut self, id: RequestId) -> Option<Option<MemberId>> {
         self.open.remove(&id).map(|open| open.out)
     }
 
-    /// It is to be sent to a member, for so long (0: until its client gives up); none if it is not open.
+    /// Notes that the request is sent to a member, for at most `wait` microseconds (0: until the client's
+    /// deadline). None if the request is not open.
     pub fn send(&mut self, id: RequestId, to: MemberId, wait: Micros, now: Micros) -> Option<Sending> {
         let open = self.open.get_mut(&id)?;
         let alone = open.out.replace(to).is_none();
@@ -103,34 +107,36 @@
         })
     }
 
-    /// Its attempt at this member is off the wire; whether it was out there, or the request is not open any more.
+    /// Notes that the request's attempt at this member has ended. False if the request is open and had no
+    /// attempt in flight there.
     pub fn ended(&mut self, id: RequestId, at: MemberId) -> bool {
         self.open.get_mut(&id).is_none_or(|open| open.out.take() == Some(at))
     }
 
-    /// Its final answer is there; none if nobody waits for it any more.
+    /// Removes a request that has its final answer. None if nobody waits for it any more.
     pub fn answer(&mut self, id: RequestId) -> Option<Open<C>> {
         self.open.remove(&id)
     }
 
-    /// Whether an attempt of it may still go out, as far as its client goes.
+    /// Whether the request is open and its client still waits, so that an attempt of it may still be written.
     pub fn is_wanted(&self, id: RequestId) -> bool {
         self.open.get(&id).is_some_and(|open| !open.cancel_flag.is_cancelled())
     }
 
-    /// Whether it has not got its final answer, and its client has not left.
+    /// Whether the request has no final answer yet and its client's departure has not been handled.
     pub fn is_open(&self, id: RequestId) -> bool {
         self.open.contains_key(&id)
     }
 
-    /// All that is open: nothing is open any more.
+    /// Removes and returns all open requests.
     pub fn finish(&mut self) -> Vec<(RequestId, Open<C>)> {
         std::mem::take(&mut self.open).into_iter().collect()
     }
 
-    /// Those that should have been answered by now and have no attempt out.
+    /// Requests without an attempt in flight that should have been answered by now.
     pub fn overdue(&self, now: Micros) -> Vec<RequestId> {
-        let late = self.open.iter().filter(|(_, open)| open.out.is_none() && now > open.ends + OVERDUE);
-        late.map(|(id, _)| *id).collect()
+        let overdue =
+            self.open.iter().filter(|(_, open)| open.out.is_none() && now > open.ends + OVERDUE_AFTER_US);
+        overdue.map(|(id, _)| *id).collect()
     }
 }
