--- a/crates/driver/src/member/connection.rs
+++ b/crates/driver/src/member/connection.rs
@@ -1,6 +1,7 @@
-//! A connection to a member: it is opened, carries one statement at a time, and its answer is read.
+//! Connections to members: opening them, sending one statement at a time, and reading the answer.
 //!
-//! Owns the socket and its descriptor. What may be written is told by `attempt`, what an answer amounts to by `reply`.
+//! Owns the socket and its file descriptor. `attempt` says what may be written, and `reply` what an answer
+//! means.
 
 use std::io::{self, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -21,19 +22,21 @@
 use crate::stats::Counter;
 use crate::Node;
 
-const PROBE_REPORT: &[u8] = b"SHOW server_load";
-const PROBE_ALIVE: &[u8] = b"SELECT 1";
+/// The query of a probe where members give load reports.
+const LOAD_REPORT_QUERY: &[u8] = b"SHOW server_load";
+/// The query of a probe where they don't.
+const LIVENESS_QUERY: &[u8] = b"SELECT 1";
 
-/// A connection to a member that is up.
+/// An open connection to a member.
 pub struct Connection {
     stream: Async<TcpStream>,
     buffer: Buffer,
     address: SocketAddr,
-    _place: Permit,
+    _permit: Permit,
 }
 
-/// Carries an attempt from its connection to its outcome.
-pub async fn carry(
+/// Runs an attempt from its connection to its outcome. Returns the connection if it can be used again.
+pub async fn run_attempt(
     node: &Node,
     module: &ModuleHandle,
     id: MemberId,
@@ -41,13 +44,13 @@
     idle: Option<Connection>,
     attempt: &Attempt,
 ) -> (Reply, Option<Connection>) {
-    let ends = node.clock.instant(attempt.ends);
-    let mut connection = match send(node, module, id, address, idle, attempt).await {
+    let deadline = node.clock.instant(attempt.ends);
+    let mut connection = match send_query(node, module, id, address, idle, attempt).await {
         Ok(connection) => connection,
         Err((outcome, unused)) => return (Reply::without_answer(outcome), unused),
     };
     let mut reply = Reply::awaited();
-    match until(ends, connection.reply(node, &mut reply)).await {
+    match until(deadline, connection.read_reply(node, &mut reply)).await {
         Some(End::Ready) => (reply, Some(connection)),
         Some(End::Broken | End::Spoilt) => (reply, None),
         None => {
@@ -57,9 +60,9 @@
     }
 }
 
-/// Writes the whole query, as long as nothing that has changed speaks against it; else the outcome, and the connection
-/// if it is as good as new. A query that is cut short never runs.
-async fn send(
+/// Writes the whole query, as long as the attempt stays allowed. Otherwise returns the outcome, with the
+/// connection if nothing was written on it. A member never runs a query that is cut short.
+async fn send_query(
     node: &Node,
     module: &ModuleHandle,
     id: MemberId,
@@ -67,7 +70,7 @@
     idle: Option<Connection>,
     attempt: &Attempt,
 ) -> Result<Connection, (Outcome, Option<Connection>)> {
-    let ends = node.clock.instant(attempt.ends);
+    let deadline = node.clock.instant(attempt.ends);
     let mut departure = Departure::new(attempt.sent, attempt.lists, attempt.ends, idle.is_some());
     let (mut connection, mut query, mut written) = (idle, Vec::new(), 0);
     loop {
@@ -76,30 +79,30 @@
         let step = departure.next(present);
         match (step, &mut connection) {
             (Next::GiveUp, _) => return Err((Outcome::Moot, connection.filter(|_| written == 0))),
-            (Next::Connect, _) | (Next::Write, None) => match until(ends, open(node, address)).await {
-                Some(Ok(up)) => {
-                    connection = Some(up);
+            (Next::Connect, _) | (Next::Write, None) => match until(deadline, connect(node, address)).await {
+                Some(Ok(connected)) => {
+                    connection = Some(connected);
                     departure.connected();
                 }
                 Some(Err(outcome)) => return Err((outcome, None)),
-                // Its own time ran out: that says nothing of the member.
+                // The attempt's own time ran out, which says nothing about the member.
                 None => return Err((Outcome::Moot, None)),
             },
             (Next::Ask, _) => {
-                let told = module.confirm(attempt.request, id).await;
-                departure.answered(told.allowed, told.at, told.lists);
+                let confirmation = module.confirm(attempt.request, id).await;
+                departure.answered(confirmation.allowed, confirmation.at, confirmation.lists);
             }
-            (Next::Write, Some(up)) => {
+            (Next::Write, Some(connected)) => {
                 if query.is_empty() {
-                    // The member need not hear of the last part of a millisecond.
+                    // The time left is rounded up to whole milliseconds, the unit that members read.
                     query = attempt.statement.query((attempt.ends - present.now).div_ceil(1000));
                 }
-                let mut socket = up.stream.get_ref();
+                let mut socket = connected.stream.get_ref();
                 match socket.write(&query[written..]) {
                     Ok(count) => written += count,
                     Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
                         departure.blocked();
-                        match until(ends, up.stream.writable()).await {
+                        match until(deadline, connected.stream.writable()).await {
                             Some(Ok(())) => {}
                             Some(Err(_)) => return Err((Outcome::Unreachable, None)),
                             None => return Err((Outcome::Moot, None)),
@@ -116,7 +119,7 @@
     }
 }
 
-/// Probes a member, within the time that a connection may take to come up.
+/// Probes a member, within the time limit for opening a connection.
 pub async fn probe(
     node: &Node,
     address: SocketAddr,
@@ -127,19 +130,19 @@
     let probe = async {
         let mut connection = match idle {
             Some(connection) => connection,
-            None => open(node, address).await?,
+            None => connect(node, address).await?,
         };
         let mut query = Vec::new();
         let has_report = !dialect.report.is_empty();
-        pg::put_query(&mut query, &[if has_report { PROBE_REPORT } else { PROBE_ALIVE }]);
+        pg::put_query(&mut query, &[if has_report { LOAD_REPORT_QUERY } else { LIVENESS_QUERY }]);
         connection.stream.write_all(&query).await.map_err(|_| Outcome::Unreachable)?;
         let mut reply = Reply::awaited();
-        let end = connection.reply(node, &mut reply).await;
+        let end = connection.read_reply(node, &mut reply).await;
         let mut told = reply.told;
         if let Some(value) = pg::single_value(&reply.served.messages).filter(|_| has_report) {
             told.take(b"server_load", value);
         }
-        // An answer that can't be read tells that the member is up, and nothing else.
+        // A malformed answer shows that the member is up, and nothing else.
         let outcome = if end == End::Spoilt { Outcome::Served } else { reply.outcome };
         Ok((outcome, told.as_report(), (end == End::Ready).then_some(connection)))
     };
@@ -150,98 +153,99 @@
     }
 }
 
-/// Opens a connection, up to the member's welcome; the outcome otherwise.
-async fn open(node: &Node, address: SocketAddr) -> Result<Connection, Outcome> {
-    // Waiting for a place is no fault of the member.
-    let place = node.place(&node.descriptors.members).await;
+/// Opens a connection to a member and reads its startup response. Otherwise returns the outcome.
+async fn connect(node: &Node, address: SocketAddr) -> Result<Connection, Outcome> {
+    // The wait for a free descriptor is not held against the member.
+    let permit = node.place(&node.descriptors.members).await;
     let limit = Duration::from_micros(node.site.dialect.connect_timeout);
-    let open = async {
+    let connecting = async {
         node.stats.count(Counter::Connects);
         let stream = Async::<TcpStream>::connect(address).await.map_err(|_| Outcome::Unreachable)?;
         let _ = stream.get_ref().set_nodelay(true);
-        let mut connection = Connection { stream, buffer: Buffer::default(), address, _place: place };
+        let mut connection = Connection { stream, buffer: Buffer::default(), address, _permit: permit };
         let mut startup = Vec::new();
         pg::put_startup(&mut startup);
         connection.stream.write_all(&startup).await.map_err(|_| Outcome::Unreachable)?;
-        connection.welcome().await.map(|()| connection)
+        connection.read_startup_response().await.map(|()| connection)
     };
-    within(limit, open).await.unwrap_or(Err(Outcome::Unreachable))
+    within(limit, connecting).await.unwrap_or(Err(Outcome::Unreachable))
 }
 
 impl Connection {
-    /// Where it leads.
+    /// The address that it is connected to.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Whether nothing was said on it that belongs to no request: the next one would take it for its own answer.
-    pub fn is_spent(&self) -> bool {
+    /// Whether no bytes are left in the buffer. Bytes that belong to no request would be taken for the answer
+    /// to the next one.
+    pub fn has_empty_buffer(&self) -> bool {
         self.buffer.filled().is_empty()
     }
 
-    /// Whether it is open and nothing waits to be read.
-    pub fn is_quiet(&self) -> bool {
-        let look = self.stream.get_ref().peek(&mut [0]);
-        look.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
+    /// Whether the connection is open and has nothing to read.
+    pub fn is_open_and_silent(&self) -> bool {
+        let peeked = self.stream.get_ref().peek(&mut [0]);
+        peeked.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Reads the member's welcome, up to its first ReadyForQuery.
-    async fn welcome(&mut self) -> Result<(), Outcome> {
+    /// Reads the member's startup response, up to its first ReadyForQuery.
+    async fn read_startup_response(&mut self) -> Result<(), Outcome> {
         loop {
             while let Some((message, length)) =
                 pg::backend(self.buffer.filled()).map_err(|_| Outcome::Unreachable)?
             {
-                let ready = match message {
+                let is_ready = match message {
                     Backend::Error(code, _) => {
-                        let full = code == sqlstate::TOO_MANY_CONNECTIONS.as_bytes();
-                        return Err(if full { Outcome::Full } else { Outcome::Unreachable });
+                        let is_full = code == sqlstate::TOO_MANY_CONNECTIONS.as_bytes();
+                        return Err(if is_full { Outcome::Full } else { Outcome::Unreachable });
                     }
                     Backend::Authentication(1..) => return Err(Outcome::Unreachable),
                     message => message == Backend::Ready,
                 };
                 self.buffer.consume(length);
-                if ready {
+                if is_ready {
                     return Ok(());
                 }
             }
             future::yield_now().await;
             let length = pg::length(self.buffer.filled());
-            if self.fill(length).await.map_or(true, |count| count == 0) {
+            if self.read_some(length).await.map_or(true, |count| count == 0) {
                 return Err(Outcome::Unreachable);
             }
         }
     }
 
-    /// Reads the answer to a statement that was written whole; tells how the reading ended.
-    async fn reply(&mut self, node: &Node, reply: &mut Reply) -> End {
+    /// Reads the answer to a statement that was written whole, and returns how the reading ended.
+    async fn read_reply(&mut self, node: &Node, reply: &mut Reply) -> End {
         loop {
             if let Some(end) = reply.take(&mut self.buffer) {
                 return end;
             }
-            // One that speaks without end is not to hold up the others.
+            // Yields, so that a member that sends without pause does not hold up the other actors.
             future::yield_now().await;
             let length = pg::length(self.buffer.filled());
             if self.buffer.lacks_room(length) {
                 self.buffer.grant(node.budget.answers.acquire_arc().await);
             }
-            let patience = reply.patience(!self.buffer.filled().is_empty());
-            let fill = self.fill(length);
-            let count = match patience {
-                Some(patience) => match within(patience, fill).await {
+            let time_limit = reply.patience(!self.buffer.filled().is_empty());
+            let read = self.read_some(length);
+            let count = match time_limit {
+                Some(time_limit) => match within(time_limit, read).await {
                     Some(count) => count,
                     None => return reply.spoil(),
                 },
-                None => fill.await,
+                None => read.await,
             };
-            // With all but the last message there, what has come is the outcome.
+            // If only the last message is missing, the outcome is known and stays.
             if count.map_or(true, |count| count == 0) {
                 return End::Broken;
             }
         }
     }
 
-    /// Reads once, towards a message of this length; waiting for its first byte takes no memory.
-    async fn fill(&mut self, length: usize) -> io::Result<usize> {
+    /// Reads once, towards a message of this length. No memory is taken until its first byte arrives.
+    async fn read_some(&mut self, length: usize) -> io::Result<usize> {
         if self.buffer.filled().is_empty() {
             self.stream.readable().await?;
         }
--- a/crates/driver/src/member/mod.rs
+++ b/crates/driver/src/member/mod.rs
@@ -1,7 +1,7 @@
-//! Members: one actor for each, with its idle connections, its attempts and its probes.
+//! Members of the store: one actor for each, which holds its idle connections, its attempts and its probes.
 //!
-//! An attempt ends with the outcome that the protocol gives for what was seen, and its end is told only once
-//! it is off the wire. Nothing is sent again here.
+//! An attempt ends with the outcome that the wire protocol gives for what was received, and its end is
+//! reported only when nothing more of it can be sent or received. Retries are not made here.
 
 pub mod attempt;
 pub mod connection;
@@ -25,71 +25,72 @@
 use crate::stats::Counter;
 use crate::Node;
 
-use connection::{carry, probe, Connection};
+use connection::{probe, run_attempt, Connection};
 use reply::Reply;
 pub use told::{report, Told};
 
-/// What reaches a member's actor.
+/// A message to a member's actor.
 pub enum MemberMail {
-    /// Send a request.
+    /// Send a request to the member.
     Attempt(Attempt),
-    /// Give an attempt up: its client is gone.
+    /// Cancel an attempt, since its client has left.
     Cancel(RequestId),
     /// Probe the member.
     Probe,
-    /// It listens here now.
+    /// The member listens at this address now.
     Address(SocketAddr),
-    /// Its member left for good: close all, and end.
+    /// The member has left for good: close all connections and stop.
     End,
-    /// Close the connections that carry nothing.
+    /// Close the idle connections.
     CloseIdle,
-    /// Close the one that is idle for the longest.
+    /// Close the connection that has been idle for the longest time.
     CloseOldest,
-    /// An attempt is off the wire; its connection comes back if it can be used again.
+    /// An attempt has ended. Its connection is returned if it can be used again.
     Ended(AttemptEnd, Option<Connection>),
-    /// So is a probe.
+    /// A probe has ended, with the same return of its connection.
     Probed(Outcome, Report, Option<Connection>),
 }
 
-/// A request to be sent.
+/// A request to be sent to a member.
 pub struct Attempt {
-    /// Which request.
+    /// The request that it belongs to.
     pub request: RequestId,
-    /// What is sent.
+    /// The statement to send.
     pub statement: Rc<Statement>,
-    /// When its client gives up.
+    /// The attempt's deadline.
     pub ends: Micros,
-    /// When it was decided.
+    /// When the attempt was decided on.
     pub sent: Micros,
-    /// On how many lists.
+    /// The version of the membership list that it was decided on.
     pub lists: u64,
-    /// Whether its client still waits.
+    /// Tells whether the client still waits.
     pub cancel_flag: CancelFlag,
 }
 
 /// The end of an attempt.
 pub struct AttemptEnd {
-    /// Which request.
+    /// The request that it belonged to.
     pub request: RequestId,
-    /// At which member.
+    /// The member that it was made at.
     pub member: MemberId,
-    /// How it ended.
+    /// Its outcome.
     pub outcome: Outcome,
-    /// What is for the client, if it was served.
+    /// The answer for the client, if the member served the request.
     pub served: Served,
-    /// What the member said of itself.
+    /// What the member reported of itself.
     pub told: Told,
-    /// Time since it was decided.
+    /// The time since the attempt was decided on, in microseconds.
     pub took: Micros,
 }
 
-struct Idle {
+/// A connection that carries nothing.
+struct IdleConnection {
     connection: Connection,
     since: Instant,
-    _rest: Rest,
+    _idle_registration: Rest,
 }
 
-/// Members on sockets.
+/// Reaches members over TCP.
 pub struct SocketTransport;
 
 impl MemberTransport for SocketTransport {
@@ -100,98 +101,110 @@
         id: MemberId,
         address: SocketAddr,
     ) -> Sender<MemberMail> {
-        Member::start(node, module, id, address)
+        MemberActor::start(node, module, id, address)
     }
 }
 
 /// The actor of one member.
-pub struct Member {
+pub struct MemberActor {
     node: Rc<Node>,
     module: ModuleHandle,
     id: MemberId,
     address: SocketAddr,
     mailbox: Receiver<MemberMail>,
-    /// For those that report to this actor.
+    /// For tasks that report back to this actor.
     sender: Sender<MemberMail>,
-    /// The longest idle first.
-    idle: VecDeque<Idle>,
-    running: HashMap<RequestId, Task<()>>,
+    /// Ordered by the time since when they are idle, the oldest first.
+    idle_connections: VecDeque<IdleConnection>,
+    running_attempts: HashMap<RequestId, Task<()>>,
 }
 
-impl Member {
-    /// Starts the actor of a member; this is the way to its mailbox.
+impl MemberActor {
+    /// Starts the actor of a member and returns the sender of its mailbox.
     pub fn start(
         node: &Rc<Node>,
         module: &ModuleHandle,
         id: MemberId,
         address: SocketAddr,
     ) -> Sender<MemberMail> {
-        // Its mail belongs to open requests, to a probe, and to connections: their places bound it.
+        // The mailbox has no capacity of its own. Its messages belong to open requests, a probe, and
+        // connections, and the descriptors for connections bound the number of these.
         let (sender, mailbox) = async_channel::unbounded();
-        let (idle, running) = Default::default();
+        let (idle_connections, running_attempts) = Default::default();
         let (node, module) = (node.clone(), module.clone());
-        let member = Member { node, module, id, address, mailbox, sender: sender.clone(), idle, running };
+        let member = MemberActor {
+            node,
+            module,
+            id,
+            address,
+            mailbox,
+            sender: sender.clone(),
+            idle_connections,
+            running_attempts,
+        };
         member.node.clone().spawn(member.run());
         sender
     }
 
     async fn run(mut self) {
         loop {
-            let fresh_for = Duration::from_micros(self.node.site.dialect.conn_idle).mul_f64(0.9);
-            while self.idle.front().is_some_and(|idle| idle.since.elapsed() >= fresh_for) {
-                self.idle.pop_front();
+            // Idle connections are closed a tenth earlier than the member may close them.
+            let reuse_limit = Duration::from_micros(self.node.site.dialect.conn_idle).mul_f64(0.9);
+            while self.idle_connections.front().is_some_and(|idle| idle.since.elapsed() >= reuse_limit) {
+                self.idle_connections.pop_front();
             }
-            let mail = match self.idle.front() {
-                Some(idle) => until(idle.since + fresh_for, self.mailbox.recv()).await,
+            let message = match self.idle_connections.front() {
+                Some(idle) => until(idle.since + reuse_limit, self.mailbox.recv()).await,
                 None => Some(self.mailbox.recv().await),
             };
-            match mail {
+            match message {
                 None => {}
                 Some(Err(_) | Ok(MemberMail::End)) => return,
-                Some(Ok(MemberMail::Attempt(attempt))) => self.attempt(attempt),
-                Some(Ok(MemberMail::Cancel(request))) => self.cancel(request).await,
-                Some(Ok(MemberMail::Probe)) => self.probe(),
+                Some(Ok(MemberMail::Attempt(attempt))) => self.start_attempt(attempt),
+                Some(Ok(MemberMail::Cancel(request))) => self.cancel_attempt(request).await,
+                Some(Ok(MemberMail::Probe)) => self.start_probe(),
                 Some(Ok(MemberMail::Address(address))) => {
                     self.address = address;
-                    self.idle.clear();
+                    self.idle_connections.clear();
                 }
-                Some(Ok(MemberMail::CloseIdle)) => self.idle.clear(),
-                Some(Ok(MemberMail::CloseOldest)) => match self.idle.pop_front() {
+                Some(Ok(MemberMail::CloseIdle)) => self.idle_connections.clear(),
+                Some(Ok(MemberMail::CloseOldest)) => match self.idle_connections.pop_front() {
                     Some(oldest) => drop(oldest),
                     None => self.node.descriptors.members.asked_in_vain(),
                 },
                 Some(Ok(MemberMail::Ended(end, connection))) => {
-                    self.running.remove(&end.request);
-                    self.rest(connection);
+                    self.running_attempts.remove(&end.request);
+                    self.return_connection(connection);
                     self.module.send(Mail::AttemptEnded(Box::new(end)));
                 }
                 Some(Ok(MemberMail::Probed(outcome, report, connection))) => {
-                    self.rest(connection);
+                    self.return_connection(connection);
                     self.module.send(Mail::ProbeEnded(self.id, outcome, report));
                 }
             }
         }
     }
 
-    fn attempt(&mut self, attempt: Attempt) {
+    /// Starts a task that runs an attempt.
+    fn start_attempt(&mut self, attempt: Attempt) {
         self.node.stats.count(Counter::Attempts);
         let (node, id, address, sender) = (self.node.clone(), self.id, self.address, self.sender.clone());
         let (module, idle, request) = (self.module.clone(), self.take_idle(), attempt.request);
         let task = self.node.start(async move {
-            let (reply, connection) = carry(&node, &module, id, address, idle, &attempt).await;
+            let (reply, connection) = run_attempt(&node, &module, id, address, idle, &attempt).await;
             let took = node.clock.now().saturating_sub(attempt.sent);
             let Reply { outcome, served, told, .. } = reply;
             let end = AttemptEnd { request, member: id, outcome, served, told, took };
             let _ = sender.try_send(MemberMail::Ended(end, connection));
         });
         let Some(task) = task else { return };
-        let earlier = self.running.insert(request, task);
-        self.node.stats.check(earlier.is_none(), "a request has one attempt out");
+        let earlier = self.running_attempts.insert(request, task);
+        self.node.stats.check(earlier.is_none(), "a request has at most one attempt in flight");
     }
 
     /// Ends an attempt by closing its connection, unless it has just ended by itself.
-    async fn cancel(&mut self, request: RequestId) {
-        let Some(task) = self.running.remove(&request) else { return };
+    async fn cancel_attempt(&mut self, request: RequestId) {
+        let Some(task) = self.running_attempts.remove(&request) else { return };
         if task.cancel().await.is_none() {
             let (served, told) = Default::default();
             let end =
@@ -200,7 +213,8 @@
         }
     }
 
-    fn probe(&mut self) {
+    /// Starts a task that runs a probe.
+    fn start_probe(&mut self) {
         self.node.stats.count(Counter::Probes);
         let (node, address, sender) = (self.node.clone(), self.address, self.sender.clone());
         let idle = self.take_idle();
@@ -210,10 +224,10 @@
         });
     }
 
-    /// The connection used last that is still open and quiet.
+    /// Takes the most recently used connection that is still open and has nothing to read.
     fn take_idle(&mut self) -> Option<Connection> {
-        while let Some(idle) = self.idle.pop_back() {
-            if idle.connection.is_quiet() {
+        while let Some(idle) = self.idle_connections.pop_back() {
+            if idle.connection.is_open_and_silent() {
                 self.node.stats.count(Counter::Reused);
                 return Some(idle.connection);
             }
@@ -221,13 +235,19 @@
         None
     }
 
-    fn rest(&mut self, connection: Option<Connection>) {
-        // What was said after an answer belongs to no request: the next one on it would take it for its own.
-        let fit = |c: &Connection| c.is_spent() && c.address() == self.address;
-        let Some(connection) = connection.filter(fit) else { return };
+    /// Keeps a connection for later use, if it can be used again.
+    fn return_connection(&mut self, connection: Option<Connection>) {
+        // Bytes that follow an answer belong to no request. The next request on this connection would take
+        // them for its own answer.
+        let is_reusable = |c: &Connection| c.has_empty_buffer() && c.address() == self.address;
+        let Some(connection) = connection.filter(is_reusable) else { return };
         let sender = self.sender.clone();
         let close = move || drop(sender.try_send(MemberMail::CloseOldest));
-        let rest = self.node.descriptors.members.rest(Rank::Used, close);
-        self.idle.push_back(Idle { connection, since: Instant::now(), _rest: rest });
+        let registration = self.node.descriptors.members.rest(Rank::Used, close);
+        self.idle_connections.push_back(IdleConnection {
+            connection,
+            since: Instant::now(),
+            _idle_registration: registration,
+        });
     }
 }
--- a/crates/driver/src/member/reply.rs
+++ b/crates/driver/src/member/reply.rs
@@ -1,7 +1,8 @@
-//! An answer of a member as far as it has come, without I/O: bytes, silence and the connection's end come in; the outcome
-//! that it amounts to comes out.
+//! A member's answer as far as it has been received, without I/O. Bytes, silence and the end of the
+//! connection come in; the outcome comes out.
 //!
-//! Owns what was told so far. Never reads or waits: it says how long the next bytes may take.
+//! Owns what was received so far. It never reads or waits, but says how long the wait for the next bytes may
+//! take.
 
 use std::time::Duration;
 
@@ -12,20 +13,22 @@
 use crate::client::Served;
 use crate::pg::{self, sqlstate, Backend, Severity};
 
-/// Once its value is whole, the rest of an answer has so long to come.
-const READY_WAIT: Duration = Duration::from_millis(100);
-/// A message that has begun goes on within this: members send an answer at once.
-const MESSAGE_GAP: Duration = Duration::from_millis(50);
+/// Time for the rest of an answer once its value is complete.
+const READY_TIMEOUT: Duration = Duration::from_millis(100);
+/// Longest gap within a message that has begun: members send an answer in one piece.
+const MESSAGE_GAP_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// What came of a statement; a broken connection, as long as its end has not come.
+/// What was received in answer to a statement. Its outcome is that of a broken connection until more is
+/// known.
 pub struct Reply {
     /// The outcome so far.
     pub outcome: Outcome,
-    /// What is for the client, if it was served.
+    /// The answer for the client, if the member served the request.
     pub served: Served,
-    /// What the member said of itself.
+    /// What the member reported of itself.
     pub told: Told,
-    row: Row,
+    /// How much of the single row has been received.
+    row_progress: RowProgress,
 }
 
 /// How the reading of an answer ended.
@@ -33,24 +36,29 @@
 pub enum End {
     /// The member is ready for the next statement.
     Ready,
-    /// The connection broke, or is of no further use.
+    /// The connection broke or can't be used again.
     Broken,
-    /// The answer can't be read, so its connection is of no further use.
+    /// The answer is malformed, so that its connection can't be used again.
     Spoilt,
 }
 
 impl Reply {
-    /// No answer yet, which is this outcome.
+    /// A request that ended with this outcome and without an answer.
     pub fn without_answer(outcome: Outcome) -> Self {
-        Reply { outcome, served: Served::default(), told: Told::default(), row: Row::Nothing }
+        Reply {
+            outcome,
+            served: Served::default(),
+            told: Told::default(),
+            row_progress: RowProgress::NotStarted,
+        }
     }
 
-    /// The answer to a statement that has just been written whole.
+    /// The answer to a statement that was just written whole, of which nothing has been received yet.
     pub fn awaited() -> Self {
         Reply::without_answer(Outcome::Reset)
     }
 
-    /// Takes all messages at hand; tells how the answer ended, once it has.
+    /// Reads all complete messages in the buffer. Returns how the answer ended, once it has.
     pub fn take(&mut self, buffer: &mut Buffer) -> Option<End> {
         loop {
             let bytes = buffer.filled();
@@ -61,61 +69,65 @@
             };
             match message {
                 Backend::ParameterStatus(name, value) => self.told.take(name, value),
-                // Whatever follows a whole row does not belong to it.
+                // Whatever follows a complete row does not belong to this answer.
                 Backend::Error(..) | Backend::RowDescription(_) | Backend::DataRow(_)
-                    if self.row == Row::Complete =>
+                    if self.row_progress == RowProgress::Complete =>
                 {
                     return Some(End::Broken);
                 }
                 Backend::Error(code, severity) => {
-                    self.outcome = outcome_of(code);
+                    self.outcome = outcome_for_sqlstate(code);
                     if severity == Severity::Fatal {
                         return Some(End::Broken);
                     }
                 }
                 Backend::RowDescription(_) | Backend::DataRow(_) | Backend::CommandComplete => {
-                    self.row = self.row.next(message);
-                    if self.row == Row::Unfit {
+                    self.row_progress = self.row_progress.after(message);
+                    if self.row_progress == RowProgress::Unexpected {
                         return Some(self.spoil());
                     }
-                    // One of each at most is kept, so the bound on messages bounds the answer.
+                    // At most one message of each kind is kept, so that the limit on a message bounds the
+                    // answer.
                     self.served.messages.extend_from_slice(&bytes[..length]);
-                    if self.row == Row::Complete {
+                    if self.row_progress == RowProgress::Complete {
                         self.outcome = Outcome::Served;
                     }
                 }
                 Backend::Ready if self.outcome == Outcome::Reset => return Some(self.spoil()),
                 Backend::Ready | Backend::Authentication(_) | Backend::Other => {}
             }
-            let ready = message == Backend::Ready;
+            let is_ready = message == Backend::Ready;
             let large = buffer.consume(length);
             self.served.large = self.served.large.take().or(large);
-            if ready {
+            if is_ready {
                 return Some(End::Ready);
             }
         }
     }
 
-    /// How long the next bytes may take; none: until the attempt's own end. `begun`: part of a message is at hand.
+    /// How long the wait for the next bytes may take; None: until the attempt's deadline. `begun`: the buffer
+    /// holds part of a message.
     pub fn patience(&self, begun: bool) -> Option<Duration> {
-        match self.row {
-            Row::Complete => Some(READY_WAIT),
-            _ if begun => Some(MESSAGE_GAP),
+        match self.row_progress {
+            RowProgress::Complete => Some(READY_TIMEOUT),
+            _ if begun => Some(MESSAGE_GAP_TIMEOUT),
             _ => None,
         }
     }
 
-    /// They did not come in time, or can't be read. A row that was whole before stays good, as does an error that was
-    /// told; else the member did answer, and may have run the statement, which is what an error of its own would say.
+    /// Ends an answer that is malformed or whose next bytes did not arrive in time. A row that was complete
+    /// stays valid, and so does an error. Otherwise the member did answer and may have run the statement,
+    /// which is what an error of its own would mean.
     pub fn spoil(&mut self) -> End {
-        if self.row == Row::Complete || self.outcome != Outcome::Reset {
+        if self.row_progress == RowProgress::Complete || self.outcome != Outcome::Reset {
             return End::Broken;
         }
         *self = Reply::without_answer(Outcome::Error);
         End::Spoilt
     }
 
-    /// The attempt's own time is over: where all but the last message has come, that is the outcome.
+    /// Notes that the attempt's deadline has passed. If only the last message is missing, the outcome is
+    /// known and stays.
     pub fn time_out(&mut self) {
         if self.outcome == Outcome::Reset {
             self.outcome = Outcome::TimedOut;
@@ -123,30 +135,30 @@
     }
 }
 
-/// How far an answer's single row has come.
+/// How much of the answer's single row has been received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Row {
-    Nothing,
+enum RowProgress {
+    NotStarted,
     Described,
-    Given,
+    Received,
     Complete,
-    /// Not what a request's answer looks like.
-    Unfit,
+    /// Messages that an answer to a request does not have.
+    Unexpected,
 }
 
-impl Row {
-    fn next(self, message: Backend) -> Row {
+impl RowProgress {
+    fn after(self, message: Backend) -> RowProgress {
         match (self, message) {
-            (Row::Nothing, Backend::RowDescription(1)) => Row::Described,
-            (Row::Described, Backend::DataRow(Some(_))) => Row::Given,
-            (Row::Given, Backend::CommandComplete) => Row::Complete,
-            _ => Row::Unfit,
+            (RowProgress::NotStarted, Backend::RowDescription(1)) => RowProgress::Described,
+            (RowProgress::Described, Backend::DataRow(Some(_))) => RowProgress::Received,
+            (RowProgress::Received, Backend::CommandComplete) => RowProgress::Complete,
+            _ => RowProgress::Unexpected,
         }
     }
 }
 
-/// The outcome that a member's error stands for.
-fn outcome_of(code: &[u8]) -> Outcome {
+/// The outcome that a member's error code stands for.
+fn outcome_for_sqlstate(code: &[u8]) -> Outcome {
     match std::str::from_utf8(code) {
         Ok(sqlstate::READ_ONLY | sqlstate::SNAPSHOT_TOO_OLD) => Outcome::Misplaced,
         Ok(sqlstate::TOO_MANY_CONNECTIONS) => Outcome::Full,
--- a/crates/driver/src/member/told.rs
+++ b/crates/driver/src/member/told.rs
@@ -1,6 +1,6 @@
-//! What members say of themselves, with an answer or in a load report.
+//! What members report of themselves, with an answer or in a load report.
 //!
-//! Owns nothing; reads text, and passes over what can't be read. Never decides what it means.
+//! Owns no state. It parses text and skips what is malformed; what a report means is decided elsewhere.
 
 use beaconshore::interface::{Micros, Note, Report, Role};
 use beaconshore_settings::ReportField;
@@ -8,17 +8,17 @@
 use crate::listing::{FOLLOWER, LEADER};
 use crate::pg;
 
-/// What a member said of itself.
+/// What a member reported of itself.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Told {
-    /// With the answer.
+    /// What came with an answer.
     pub note: Note,
-    /// In a load report.
+    /// What came in a load report.
     pub report: Report,
 }
 
 impl Told {
-    /// Takes a value that the member told; junk and other names are passed over.
+    /// Takes a value that the member sent. Malformed values and unknown names are skipped.
     pub fn take(&mut self, name: &[u8], value: &[u8]) {
         let Ok(value) = std::str::from_utf8(value) else { return };
         match name {
@@ -32,14 +32,14 @@
         }
     }
 
-    /// What a probe learnt: a note counts as a report, which speaks of the time of its position.
+    /// What a probe found out, as a report: a note that came with the answer also counts as one.
     pub fn as_report(&self) -> Report {
         let position = self.report.position.max(self.note.position);
         Report { position, role: self.note.role.or(self.report.role), ..self.report }
     }
 }
 
-/// A load report, as `name=value,...`; none if any of it can't be read.
+/// Parses a load report of the form `name=value,...`. None if any part of it is malformed.
 pub fn report(text: &str) -> Option<Report> {
     let mut report = Report::default();
     for pair in text.split(',') {
@@ -51,7 +51,7 @@
         }
         let millionths = pg::micro_units(value.trim())?;
         match field {
-            // Seconds of Unix time.
+            // The position is given in seconds of Unix time.
             ReportField::Position => report.position = Some(millionths).filter(|&p| p > 0),
             ReportField::Role if millionths == 1_000_000 => report.role = Some(Role::Primary),
             ReportField::Role => report.role = Some(Role::Replica),
