--- a/crates/driver/src/client/message.rs
+++ b/crates/driver/src/client/message.rs
@@ -1,6 +1,6 @@
-//! What a client's connection and the other actors tell each other.
+//! Messages between the actor of a client's connection and the other actors.
 //!
-//! Owns no state; never waits.
+//! Owns no state and never waits.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -9,47 +9,49 @@
 
 use crate::budget::Share;
 
-/// What reaches the actor of a client's connection.
+/// A message to the actor of a client's connection.
 pub enum ClientMail {
-    /// The final answer to its request.
+    /// The final answer to a request of the connection.
     Answer(RequestId, Answer),
-    /// Close, if nothing is under way.
+    /// Close the connection if it has no open request.
     Close,
-    /// Its client asked, on another connection, that what is under way be given up.
+    /// Cancel the open requests: the client asked for that on another connection.
     Cancel,
 }
 
-/// What a member served.
+/// The answer of a member that served a request.
 #[derive(Default)]
 pub struct Served {
-    /// Its messages up to CommandComplete.
+    /// The member's messages up to CommandComplete.
     pub messages: Vec<u8>,
-    /// The place among the large answers, if it is one.
+    /// The answer's share of the memory for large messages, if it is large.
     pub large: Option<Share>,
 }
 
 /// A final answer.
 pub enum Answer {
-    /// Served.
+    /// A member served the request.
     Served(Served),
-    /// Refused: trying again is harmless, best after so long (0: no advice).
+    /// The request was refused and never ran, so that a retry is harmless. The client is advised to wait this
+    /// many microseconds before it (0: no advice).
     Refused(Micros),
-    /// Failed.
+    /// The request failed. Whether it ran is not known.
     Failed,
 }
 
-/// Whether a request's client still waits for it: shared by all that work on the request, so that its departure is
-/// seen right before each byte, however full the mailboxes are.
+/// Whether a request's client has left or cancelled it. The flag is shared by everything that works on the
+/// request, so that this is seen right before each byte is written, however many messages wait in the
+/// mailboxes.
 #[derive(Clone, Debug, Default)]
 pub struct CancelFlag(Rc<Cell<bool>>);
 
 impl CancelFlag {
-    /// The client has gone.
+    /// Notes that the client has left or cancelled the request.
     pub fn cancel(&self) {
         self.0.set(true);
     }
 
-    /// Whether nobody waits any more.
+    /// Whether nobody waits for the answer any more.
     pub fn is_cancelled(&self) -> bool {
         self.0.get()
     }
--- a/crates/driver/src/client/mod.rs
+++ b/crates/driver/src/client/mod.rs
@@ -1,6 +1,7 @@
-//! Clients: accepting them, and one actor for each connection, which carries bytes between its socket and its state.
+//! Clients: one actor for each connection, which carries bytes between the socket and the connection's state.
 //!
-//! Owns the sockets and read buffers. What a connection takes, owes and waits for is decided by `connection`, without I/O.
+//! Owns the sockets and read buffers. What a connection accepts, owes and waits for is decided by
+//! `connection`, which does no I/O.
 
 pub mod connection;
 pub mod message;
@@ -32,124 +33,129 @@
 };
 pub use message::{Answer, CancelFlag, ClientMail, Served};
 
-/// Messages that are looked at in a row before others get their turn.
-const TURN: usize = 16;
+/// Messages of one connection that are processed before other actors get their turn.
+const MAX_MESSAGES_PER_TURN: usize = 16;
 
-/// All clients' connections.
+/// The connections of all clients.
 pub struct Clients {
     node: Rc<Node>,
     module: ModuleHandle,
     phase: Cell<Phase>,
-    /// When the driver ends: until then all that it still takes is to be answered.
+    /// The latest deadline of a request, which is set when the driver begins to shut down: by then everything
+    /// that it still accepts has to be answered.
     ends: Cell<Micros>,
-    /// By the keys that cancel what is under way on them.
-    open: RefCell<HashMap<u64, Sender<ClientMail>>>,
-    /// Hears of the last one's end.
+    /// Senders of the connections' mailboxes, by the key that a cancel request names.
+    connections: RefCell<HashMap<u64, Sender<ClientMail>>>,
+    /// Gets a message when the last connection has ended.
     emptied: Sender<()>,
-    /// Makes keys that nobody can guess.
-    keys: RandomState,
+    /// Derives cancel keys from a random seed, so that nobody can guess them.
+    key_hasher: RandomState,
 }
 
 impl Clients {
-    /// No connections yet, and what tells that the last one has gone.
+    /// A table without connections, and a receiver that gets a message when the last connection has ended.
     pub fn new(node: Rc<Node>, module: ModuleHandle) -> (Rc<Self>, Receiver<()>) {
-        let (emptied, hears) = async_channel::bounded(1);
-        let (phase, ends, open) = (Cell::new(Phase::Serving), Cell::new(Micros::MAX), RefCell::default());
-        let keys = RandomState::new();
-        (Rc::new(Clients { node, module, phase, ends, open, emptied, keys }), hears)
+        let (emptied, on_emptied) = async_channel::bounded(1);
+        let (phase, ends, connections) =
+            (Cell::new(Phase::Serving), Cell::new(Micros::MAX), RefCell::default());
+        let key_hasher = RandomState::new();
+        (Rc::new(Clients { node, module, phase, ends, connections, emptied, key_hasher }), on_emptied)
     }
 
     /// Starts the actor of a connection.
-    pub fn welcome(self: &Rc<Self>, stream: Async<TcpStream>, place: Permit) {
+    pub fn welcome(self: &Rc<Self>, stream: Async<TcpStream>, permit: Permit) {
         self.node.stats.count(Counter::Accepted);
-        // What is written goes out at once: what the system held back would be lost with a reset.
+        // Data is sent at once. What the kernel held back would be lost if the connection is reset.
         let _ = stream.get_ref().set_nodelay(true);
-        // It gets one answer for each of its open requests, one wish to close for each time that it was idle, and a
-        // cancellation for each connection that asks for one.
+        // The mailbox has no capacity of its own. It gets one answer for each open request, one request to
+        // close for each time that the connection was idle, and one message for each cancel request.
         let (sender, mailbox) = async_channel::unbounded();
-        let key = self.keys.hash_one(self.node.stats.of(Counter::Accepted));
-        self.open.borrow_mut().insert(key, sender.clone());
-        let mut actor = Actor {
+        let key = self.key_hasher.hash_one(self.node.stats.of(Counter::Accepted));
+        self.connections.borrow_mut().insert(key, sender.clone());
+        let mut actor = ConnectionActor {
             clients: self.clone(),
             stream,
             buffer: Buffer::default(),
-            read_at: 0,
+            received_at: 0,
             sender,
             mailbox,
             connection: Connection::new(key, Instant::now()),
             login: Rc::default(),
         };
         self.node.spawn(async move {
-            if let Err(end) = actor.serve().await {
-                debug!("a client's connection ended: {end}");
+            if let Err(error) = actor.serve().await {
+                debug!("a client's connection ended: {error}");
             }
-            actor.abandon();
-            actor.count();
+            actor.abandon_requests();
+            actor.count_end();
             let clients = actor.clients.clone();
-            drop((actor, place));
-            clients.ended(key);
+            drop((actor, permit));
+            clients.remove(key);
         });
     }
 
-    fn ended(&self, key: u64) {
-        let mut open = self.open.borrow_mut();
-        open.remove(&key);
-        if open.is_empty() {
+    /// Removes a connection that has ended.
+    fn remove(&self, key: u64) {
+        let mut connections = self.connections.borrow_mut();
+        connections.remove(&key);
+        if connections.is_empty() {
             let _ = self.emptied.try_send(());
         }
     }
 
-    /// Has connections end that are not in use any more; what is still taken is answered by then.
+    /// Closes connections as they become idle. Requests that are still accepted have to be answered within the
+    /// given time.
     pub fn leave(&self, left: Duration) {
         self.phase.set(Phase::Leaving);
         self.ends.set(self.node.clock.now() + left.as_micros() as Micros);
         self.node.descriptors.clients.close_idle();
     }
 
-    /// Has every open request answered, and every connection end.
+    /// Has every open request answered, and closes every connection.
     pub fn close(&self) {
         self.phase.set(Phase::Closing);
         self.module.send(Mail::Finish);
         self.node.descriptors.clients.close_idle();
     }
 
-    /// How many connections there are.
+    /// The number of open connections.
     pub fn count(&self) -> usize {
-        self.open.borrow().len()
+        self.connections.borrow().len()
     }
 }
 
-/// What wakes a connection's actor.
-enum Wake {
+/// What wakes the actor of a connection.
+enum WakeReason {
     Input(io::Result<usize>),
     Output(io::Result<()>),
-    Mail(ClientMail),
-    Time,
+    Message(ClientMail),
+    Deadline,
 }
 
 /// The actor of a connection.
-struct Actor {
+struct ConnectionActor {
     clients: Rc<Clients>,
     stream: Async<TcpStream>,
     buffer: Buffer,
-    /// When the newest bytes came, at the earliest.
-    read_at: Micros,
+    /// The earliest time at which the newest bytes may have arrived.
+    received_at: Micros,
     sender: Sender<ClientMail>,
     mailbox: Receiver<ClientMail>,
     connection: Connection,
-    /// Who its client says to be.
+    /// What the client said of itself in its startup message.
     login: Rc<Login>,
 }
 
-impl Actor {
+impl ConnectionActor {
+    /// Serves the connection to its end. An error ends it without an orderly shutdown.
     async fn serve(&mut self) -> io::Result<()> {
         loop {
-            let stopped = self.look();
+            let turn_ended = self.process_messages();
             let wrote = self.flush()?;
             let (phase, begun) = (self.clients.phase.get(), !self.buffer.filled().is_empty());
-            // What was written may have made room for what is at hand.
-            if stopped || wrote && begun {
-                // One that sends without end is not to hold up the others.
+            // Output that was written may have made room for the next message in the buffer.
+            if turn_ended || wrote && begun {
+                // Yields, so that a client that sends without pause does not hold up the other actors.
                 future::yield_now().await;
                 continue;
             }
@@ -160,18 +166,18 @@
                     self.stream.get_ref().shutdown(Shutdown::Write)?;
                     self.connection.shut(Instant::now());
                 }
-                Todo::LastLook => self.last_look().await?,
+                Todo::LastLook => self.check_for_input().await?,
                 Todo::Wait(wait) => {
                     let wake = self.wait(wait).await;
-                    self.woken(wake, wait)?;
+                    self.handle_wake(wake, wait)?;
                 }
             }
         }
     }
 
-    /// Looks at the messages at hand; tells whether there may be more than a turn allows.
-    fn look(&mut self) -> bool {
-        for _ in 0..TURN {
+    /// Processes the messages in the buffer. True if the turn ended before all were processed.
+    fn process_messages(&mut self) -> bool {
+        for _ in 0..MAX_MESSAGES_PER_TURN {
             let now = Instant::now();
             match self.connection.look(self.buffer.filled(), now) {
                 Look::Nothing => return false,
@@ -185,13 +191,13 @@
                 }
                 Look::Cancel(key, length) => {
                     drop(self.buffer.consume(length));
-                    self.clients.open.borrow().get(&key).into_iter().for_each(|of| {
-                        let _ = of.try_send(ClientMail::Cancel);
+                    self.clients.connections.borrow().get(&key).into_iter().for_each(|connection| {
+                        let _ = connection.try_send(ClientMail::Cancel);
                     });
                 }
-                Look::Request(query, length) => match self.arrival(query) {
+                Look::Request(query, length) => match self.read_request(query) {
                     Ok(arrival) => {
-                        // A large one keeps its place until it is answered.
+                        // A large message keeps its share of the memory until its request is answered.
                         let large = self.buffer.consume(length);
                         let (id, name, cancel_flag) =
                             (arrival.id, arrival.name.clone(), arrival.cancel_flag.clone());
@@ -210,7 +216,7 @@
         true
     }
 
-    /// Writes what is ready, as far as there is room for it; whether anything was.
+    /// Writes the output that is ready, as far as the socket takes it. True if anything was written.
     fn flush(&mut self) -> io::Result<bool> {
         let mut wrote = false;
         while let Some(bytes) = self.connection.output(Instant::now()) {
@@ -228,46 +234,46 @@
         Ok(wrote)
     }
 
-    /// A request as the module takes it: its statement is copied, since it outlives the buffer.
-    fn arrival(&self, query: &[u8]) -> Result<Arrival, pg::BadRequest> {
+    /// Builds the request for the decision module. The statement is copied, since it outlives the buffer.
+    fn read_request(&self, query: &[u8]) -> Result<Arrival, pg::BadRequest> {
         let node = &self.clients.node;
-        let text = pg::request(query)?;
-        let class = node.site.dialect.classes.iter().position(|name| name == text.class);
+        let request = pg::request(query)?;
+        let class = node.site.dialect.classes.iter().position(|name| name == request.class);
         let class = class.ok_or((sqlstate::UNDEFINED_OBJECT, "the request's class is not known"))?;
-        let facts = &node.site.settings.classes[class];
-        if matches!(facts.effect, Effect::Keyed(..)) && !text.keyed {
+        let class_settings = &node.site.settings.classes[class];
+        if matches!(class_settings.effect, Effect::Keyed(..)) && !request.keyed {
             return Err((sqlstate::INVALID_PARAMETER_VALUE, "a request of this class needs a key"));
         }
-        let in_session = matches!(facts.consistency, Consistency::Write | Consistency::Session);
-        let name: Rc<[u8]> = text.id.as_bytes().into();
+        let in_session = matches!(class_settings.consistency, Consistency::Write | Consistency::Session);
+        let name: Rc<[u8]> = request.id.as_bytes().into();
         let now = node.clock.now();
         if !node.ids.take(&name, now) {
             return Err((sqlstate::DUPLICATE_OBJECT, "another request has this id"));
         }
         let id = node.requests.get() + 1;
         node.requests.set(id);
-        // One that had to wait until others were answered begins to wait now.
-        let from = if self.connection.owed() + 1 < MAX_OPEN { self.read_at } else { now };
-        // No client waits longer than its class does over all its tries.
-        let wait = (u64::from(text.wait_ms) * 1000).min(facts.deadline);
+        // A request that had to wait for earlier answers before it was read starts to wait now.
+        let waits_since = if self.connection.owed() + 1 < MAX_OPEN { self.received_at } else { now };
+        // A class limits how long a client waits over all its retries.
+        let wait = (u64::from(request.wait_ms) * 1000).min(class_settings.deadline);
         Ok(Arrival {
             id: RequestId(id),
             name,
             class,
-            group: text.group,
-            session: in_session.then(|| session(text.key)),
-            ends: (from + wait).min(self.clients.ends.get()),
-            repeat: text.repeat,
-            after: text.after,
-            statement: Rc::new(Statement { text: query.into(), wait_at: text.wait_at }),
+            group: request.group,
+            session: in_session.then(|| session_id(request.key)),
+            ends: (waits_since + wait).min(self.clients.ends.get()),
+            repeat: request.repeat,
+            after: request.after,
+            statement: Rc::new(Statement { text: query.into(), wait_at: request.wait_at }),
             cancel_flag: CancelFlag::default(),
             client: self.sender.clone(),
             login: self.login.clone(),
         })
     }
 
-    /// Waits for what this asks for.
-    async fn wait(&mut self, wait: Wait) -> Wake {
+    /// Waits for one of the given conditions.
+    async fn wait(&mut self, wait: Wait) -> WakeReason {
         let length = self.connection.length(self.buffer.filled());
         let discards = wait.reading == Reading::Discard;
         if discards {
@@ -276,21 +282,21 @@
         let lacks_room = !discards && self.buffer.lacks_room(length);
         let reads = match wait.reading {
             Reading::Messages | Reading::Discard => true,
-            // Enough to see its client's end, where nothing else is before that.
+            // Enough to notice that the client has closed, if it does so before it sends anything.
             Reading::Ahead => self.buffer.has_room() && !lacks_room,
             Reading::Nothing => false,
         };
         let now = Instant::now();
-        let (spared, rest) = match wait.rest {
+        let (eviction_start, registration) = match wait.rest {
             Some((from, _)) if now < from => (Some(from), None),
-            rest => (None, rest.map(|(_, rank)| self.rest(rank))),
+            rest => (None, rest.map(|(_, rank)| self.register_idle(rank))),
         };
-        // Where the input may stay unread, its end is looked for behind it.
-        let check = (wait.watches && (!reads || lacks_room)).then(|| now + DEPARTURE_CHECK);
-        let until = [wait.until, spared, check].into_iter().flatten().min();
-        let mail = async {
+        // Where input may stay unread, the socket is polled for a disconnection behind it.
+        let disconnect_check = (wait.watches && (!reads || lacks_room)).then(|| now + DEPARTURE_CHECK);
+        let until = [wait.until, eviction_start, disconnect_check].into_iter().flatten().min();
+        let message = async {
             match self.mailbox.recv().await {
-                Ok(mail) => Wake::Mail(mail),
+                Ok(message) => WakeReason::Message(message),
                 Err(_) => future::pending().await,
             }
         };
@@ -298,20 +304,20 @@
             if !reads {
                 return future::pending().await;
             }
-            // Nothing to read takes no memory.
+            // No memory is taken until there is something to read.
             if self.buffer.filled().is_empty() {
                 if let Err(e) = self.stream.readable().await {
-                    return Wake::Input(Err(e));
+                    return WakeReason::Input(Err(e));
                 }
             }
             if lacks_room {
                 self.buffer.grant(self.clients.node.budget.requests.acquire_arc().await);
             }
-            Wake::Input(self.buffer.fill(length, &mut &self.stream).await)
+            WakeReason::Input(self.buffer.fill(length, &mut &self.stream).await)
         };
         let output = async {
             match wait.writing {
-                true => Wake::Output(self.stream.writable().await),
+                true => WakeReason::Output(self.stream.writable().await),
                 false => future::pending().await,
             }
         };
@@ -320,53 +326,54 @@
                 Some(at) => drop(Timer::at(at).await),
                 None => future::pending().await,
             }
-            Wake::Time
+            WakeReason::Deadline
         };
-        let wake = future::or(mail, future::or(input, future::or(output, time))).await;
-        drop(rest);
+        let wake = future::or(message, future::or(input, future::or(output, time))).await;
+        drop(registration);
         wake
     }
 
-    fn woken(&mut self, wake: Wake, wait: Wait) -> io::Result<()> {
+    /// Handles what the actor was woken for.
+    fn handle_wake(&mut self, wake: WakeReason, wait: Wait) -> io::Result<()> {
         let now = Instant::now();
         match wake {
-            Wake::Input(count) => self.came(count?, wait.reading == Reading::Discard)?,
-            Wake::Output(ready) => ready?,
-            Wake::Time if wait.watches && self.has_departed() => {
+            WakeReason::Input(count) => self.input_received(count?, wait.reading == Reading::Discard)?,
+            WakeReason::Output(ready) => ready?,
+            WakeReason::Deadline if wait.watches && self.has_disconnected() => {
                 return Err(io::ErrorKind::ConnectionAborted.into())
             }
-            Wake::Time => {}
-            Wake::Mail(ClientMail::Answer(id, answer)) => {
+            WakeReason::Deadline => {}
+            WakeReason::Message(ClientMail::Answer(id, answer)) => {
                 let node = &self.clients.node;
                 match self.connection.answered(id, answer) {
                     Some(name) => node.ids.release(name, node.clock.now()),
                     None => node.stats.check(
                         self.connection.has_cancelled(),
-                        "an answer reaches the request that it is for",
+                        "an answer belongs to a request of the connection that it reaches",
                     ),
                 }
             }
-            Wake::Mail(ClientMail::Close) => {
+            WakeReason::Message(ClientMail::Close) => {
                 let begun = !self.buffer.filled().is_empty();
                 if self.connection.make_room(self.clients.phase.get(), begun, now) == Room::InUse {
                     self.clients.node.descriptors.clients.asked_in_vain();
                 }
             }
-            Wake::Mail(ClientMail::Cancel) => {
+            WakeReason::Message(ClientMail::Cancel) => {
                 let left = self.connection.cancelled();
-                self.tell_left(left);
+                self.report_abandoned(left);
             }
         }
         Ok(())
     }
 
-    /// Notes what was read; nothing: its client has gone.
-    fn came(&mut self, count: usize, discards: bool) -> io::Result<()> {
+    /// Notes how many bytes were read. None at all mean that the client has closed the connection.
+    fn input_received(&mut self, count: usize, discards: bool) -> io::Result<()> {
         if count == 0 {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
         let node = &self.clients.node;
-        self.read_at = node.stalls.came(node.clock.now());
+        self.received_at = node.stalls.came(node.clock.now());
         let was_empty = self.buffer.filled().len() == count;
         if discards {
             self.buffer = Buffer::default();
@@ -375,13 +382,13 @@
         Ok(())
     }
 
-    /// What has come meanwhile is served before a connection ends.
-    async fn last_look(&mut self) -> io::Result<()> {
-        // Room for a byte at least: half a message may fill what there is.
+    /// Checks once for input that arrived meanwhile, which is served before the connection ends.
+    async fn check_for_input(&mut self) -> io::Result<()> {
+        // Room for at least one more byte: part of a message may fill the buffer.
         let wanted = self.buffer.filled().len() + 1;
         match future::poll_once(self.buffer.fill(wanted, &mut &self.stream)).await {
             Some(count) => {
-                self.came(count?, false)?;
+                self.input_received(count?, false)?;
                 self.clients.node.descriptors.clients.asked_in_vain();
             }
             None => self.connection.nothing_came(),
@@ -389,21 +396,22 @@
         Ok(())
     }
 
-    /// Whether its client has closed, or the connection broke, behind what was not read yet.
-    fn has_departed(&self) -> bool {
-        let mut look = [PollFd::new(&self.stream, PollFlags::RDHUP)];
-        let ready = poll(&mut look, Some(&Timespec { tv_sec: 0, tv_nsec: 0 }));
-        let gone = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
-        ready.is_ok_and(|count| count > 0) && look[0].revents().intersects(gone)
+    /// Whether the client has closed the connection or it broke, even though input before that is unread.
+    fn has_disconnected(&self) -> bool {
+        let mut polled = [PollFd::new(&self.stream, PollFlags::RDHUP)];
+        let ready = poll(&mut polled, Some(&Timespec { tv_sec: 0, tv_nsec: 0 }));
+        let disconnected = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
+        ready.is_ok_and(|count| count > 0) && polled[0].revents().intersects(disconnected)
     }
 
-    /// Ends what is still open: its client is gone.
-    fn abandon(&mut self) {
+    /// Abandons the open requests, since the client is gone.
+    fn abandon_requests(&mut self) {
         let left = self.connection.gone();
-        self.tell_left(left);
+        self.report_abandoned(left);
     }
 
-    fn tell_left(&self, left: Vec<Left>) {
+    /// Reports requests that their client has left to the decision module, and releases their ids.
+    fn report_abandoned(&self, left: Vec<Left>) {
         let node = &self.clients.node;
         for Left { id, name } in left {
             self.clients.module.send(Mail::HungUp(id));
@@ -411,7 +419,8 @@
         }
     }
 
-    fn count(&self) {
+    /// Counts how the connection ended.
+    fn count_end(&self) {
         let stats = &self.clients.node.stats;
         match self.connection.fault() {
             Some(Fault::Stream) => stats.count(Counter::BadStreams),
@@ -422,15 +431,16 @@
         }
     }
 
-    /// Has this connection asked to go when places run short, until what is returned is dropped.
-    fn rest(&self, rank: Rank) -> Rest {
+    /// Registers the connection as idle, so that it may be asked to close when descriptors run short.
+    /// Dropping the result withdraws that.
+    fn register_idle(&self, rank: Rank) -> Rest {
         let sender = self.sender.clone();
         self.clients.node.descriptors.clients.rest(rank, move || drop(sender.try_send(ClientMail::Close)))
     }
 }
 
-/// The session that a key names.
-fn session(key: &[u8]) -> SessionId {
+/// The session that a key stands for.
+fn session_id(key: &[u8]) -> SessionId {
     let mut hasher = DefaultHasher::new();
     key.hash(&mut hasher);
     SessionId(hasher.finish())
