--- a/crates/driver/src/client/connection/incoming.rs
+++ b/crates/driver/src/client/connection/incoming.rs
@@ -1,112 +1,114 @@
-//! What comes from a client: bytes, messages, its departure, its wish to cancel.
+//! Input of a client's connection: bytes, messages, disconnection, and requests to cancel.
 
 use std::rc::Rc;
 use std::time::Instant;
 
 use beaconshore::interface::RequestId;
 
-use super::limits::{MAX_OPEN, MAX_USELESS};
-use super::{CancelFlag, Connection, Due, End, Fault, Left, Look, Stage, Use};
+use super::limits::{MAX_CONSECUTIVE_NON_REQUESTS, MAX_OPEN};
+use super::{CancelFlag, Connection, End, Fault, Left, Look, QueuedAnswer, Stage, Usage};
 use crate::budget::Share;
 use crate::pg::{self, sqlstate, BadRequest, Frontend, Opening, Severity};
 
 impl Connection {
-    // ---- What comes from the client ----
+    // ---- Input from the client ----
 
-    /// Notes that bytes came; `was_empty`: none were at hand before.
+    /// Notes that bytes were read. `was_empty`: the buffer was empty before.
     pub fn read(&mut self, count: usize, was_empty: bool, now: Instant) {
-        self.parting = None;
+        self.pending_close = None;
         match self.stage {
-            Stage::Ending(_) | Stage::Draining => self.discarded += count,
-            _ if was_empty && self.used == Use::Used => self.since = now,
+            Stage::Closing(_) | Stage::Lingering => self.discarded_bytes += count,
+            _ if was_empty && self.usage == Usage::Used => self.since = now,
             _ => {}
         }
     }
 
-    /// Looks at the first message at hand.
+    /// Takes the next message from the buffer.
     pub fn look<'b>(&mut self, bytes: &'b [u8], now: Instant) -> Look<'b> {
         match self.stage {
-            // What answers the opening is written before the next message is looked at.
-            Stage::Opening if self.output.is_none() => self.look_at_opening(bytes, now),
-            Stage::Serving if self.queue.len() < MAX_OPEN => self.look_at_message(bytes, now),
-            // Nothing that comes after the end is decided is ever taken.
-            Stage::Ending(_) | Stage::Draining if !bytes.is_empty() => Look::Passed(bytes.len()),
+            // The reply to the opening is written before the next message is processed.
+            Stage::Startup if self.output.is_none() => self.next_opening_input(bytes, now),
+            Stage::Serving if self.answers.len() < MAX_OPEN => self.next_message_input(bytes, now),
+            // No request is accepted once the connection is closing.
+            Stage::Closing(_) | Stage::Lingering if !bytes.is_empty() => Look::Passed(bytes.len()),
             _ => Look::Nothing,
         }
     }
 
-    fn look_at_opening<'b>(&mut self, bytes: &'b [u8], now: Instant) -> Look<'b> {
+    /// Takes a message that comes before the connection is open for requests.
+    fn next_opening_input<'b>(&mut self, bytes: &'b [u8], now: Instant) -> Look<'b> {
         match pg::opening(bytes) {
             Ok(None) => Look::Nothing,
             Ok(Some((Opening::Startup, length))) => {
                 self.stage = Stage::Serving;
                 let mut out = Vec::new();
-                pg::put_welcome(&mut out, self.key);
-                self.write(out, false, None, now);
+                pg::put_welcome(&mut out, self.cancel_key);
+                self.start_output(out, false, None, now);
                 Look::Login(&bytes[..length])
             }
             Ok(Some((Opening::Encryption, length))) => {
-                match self.note_useless(None) {
-                    true => self.write(vec![pg::NO_ENCRYPTION], false, None, now),
-                    false => self.stage = Stage::Ending(End::Quiet),
+                match self.count_non_request(None) {
+                    true => self.start_output(vec![pg::NO_ENCRYPTION], false, None, now),
+                    false => self.stage = Stage::Closing(End::Silent),
                 }
                 Look::Passed(length)
             }
-            // Its connection carries nothing else, and no answer.
+            // A connection that carries a cancel request carries nothing else and gets no reply.
             Ok(Some((Opening::Cancel(key), length))) => {
-                self.stage = Stage::Ending(End::Quiet);
+                self.stage = Stage::Closing(End::Silent);
                 Look::Cancel(key, length)
             }
             Err(broken) => {
-                self.end(Fault::Stream, broken.sqlstate(), broken.to_string());
+                self.end_with_error(Fault::Stream, broken.sqlstate(), broken.to_string());
                 Look::Passed(bytes.len())
             }
         }
     }
 
-    fn look_at_message<'b>(&mut self, bytes: &'b [u8], now: Instant) -> Look<'b> {
+    /// Takes a message that comes after the startup message.
+    fn next_message_input<'b>(&mut self, bytes: &'b [u8], now: Instant) -> Look<'b> {
         let (message, length) = match pg::frontend(bytes) {
             Ok(Some(parsed)) => parsed,
             Ok(None) => return Look::Nothing,
             Err(broken) => {
-                self.end(Fault::Stream, broken.sqlstate(), broken.to_string());
+                self.end_with_error(Fault::Stream, broken.sqlstate(), broken.to_string());
                 return Look::Passed(bytes.len());
             }
         };
         let mut out = Vec::new();
         match message {
             Frontend::Terminate => {
-                self.stage = Stage::Ending(End::Quiet);
+                self.stage = Stage::Closing(End::Silent);
                 return Look::Passed(length);
             }
             Frontend::Ignored => {}
             Frontend::Sync => {
-                self.skipping = false;
+                self.skips_to_sync = false;
                 pg::put_ready(&mut out);
             }
-            Frontend::Extended if self.skipping => {}
+            Frontend::Extended if self.skips_to_sync => {}
             Frontend::Extended => {
-                self.skipping = true;
+                self.skips_to_sync = true;
                 let code = sqlstate::FEATURE_NOT_SUPPORTED;
                 pg::put_error(&mut out, Severity::Error, code, "only simple queries are taken", None);
             }
             Frontend::Query(query) if query.trim_ascii().is_empty() => {
                 pg::put_empty(&mut out);
                 pg::put_ready(&mut out);
-                self.owe(out);
-                self.note_use(now);
+                self.queue_bytes(out);
+                self.note_request(now);
                 return Look::Passed(length);
             }
             Frontend::Query(query) => return Look::Request(query, length),
         }
         if !out.is_empty() {
-            self.owe(out);
+            self.queue_bytes(out);
         }
-        self.pass_useless(now);
+        self.skip_non_request(now);
         Look::Passed(length)
     }
 
-    /// The request that was just looked at is taken.
+    /// Notes that the request that was just returned is accepted.
     pub fn took(
         &mut self,
         id: RequestId,
@@ -115,47 +117,49 @@
         large: Option<Share>,
         now: Instant,
     ) {
-        self.queue.push_back(Due::Open { id, name, cancel_flag, _large: large });
-        self.note_use(now);
+        self.answers.push_back(QueuedAnswer::Pending { id, name, cancel_flag, _large_permit: large });
+        self.note_request(now);
     }
 
-    /// The request that was just looked at is none that can be taken.
+    /// Notes that the request that was just returned is rejected, and queues the error.
     pub fn declined(&mut self, (code, text): BadRequest, now: Instant) {
         let mut out = Vec::new();
         pg::put_error(&mut out, Severity::Error, code, text, None);
         pg::put_ready(&mut out);
-        self.owe(out);
-        self.pass_useless(now);
+        self.queue_bytes(out);
+        self.skip_non_request(now);
     }
 
-    /// The client has closed, or its connection broke: what is open is left by it, and nothing is owed any more.
+    /// Notes that the client has closed the connection or that it broke. Returns the open requests, which are
+    /// abandoned, and drops all output.
     pub fn gone(&mut self) -> Vec<Left> {
-        self.stage = Stage::Over;
+        self.stage = Stage::Closed;
         self.output = None;
-        let open = self.queue.drain(..).filter_map(|due| match due {
-            Due::Open { id, name, cancel_flag, .. } => {
+        let open = self.answers.drain(..).filter_map(|answer| match answer {
+            QueuedAnswer::Pending { id, name, cancel_flag, .. } => {
                 cancel_flag.cancel();
                 Some(Left { id, name })
             }
-            Due::Ready { .. } => None,
+            QueuedAnswer::Ready { .. } => None,
         });
         open.collect()
     }
 
-    /// The client cancelled what is under way: each open request is answered with that, and left.
+    /// Cancels the open requests at the client's wish. Each is answered with that error and returned as
+    /// abandoned.
     pub fn cancelled(&mut self) -> Vec<Left> {
         let mut left = Vec::new();
-        self.cancelled = true;
-        for due in &mut self.queue {
-            if matches!(due, Due::Ready { .. }) {
+        self.has_cancelled = true;
+        for answer in &mut self.answers {
+            if matches!(answer, QueuedAnswer::Ready { .. }) {
                 continue;
             }
             let mut bytes = Vec::new();
             let text = "cancelled as its client asked; the statement may have run";
             pg::put_error(&mut bytes, Severity::Error, sqlstate::QUERY_CANCELED, text, None);
             pg::put_ready(&mut bytes);
-            if let Due::Open { id, name, cancel_flag, .. } =
-                std::mem::replace(due, Due::Ready { bytes, _large: None })
+            if let QueuedAnswer::Pending { id, name, cancel_flag, .. } =
+                std::mem::replace(answer, QueuedAnswer::Ready { bytes, _large_permit: None })
             {
                 cancel_flag.cancel();
                 left.push(Left { id, name });
@@ -164,24 +168,25 @@
         left
     }
 
-    /// Notes a request: what comes next begins now.
-    fn note_use(&mut self, now: Instant) {
-        (self.used, self.since, self.useless) = (Use::Used, now, 0);
+    /// Notes a request. The time for the next message starts now.
+    fn note_request(&mut self, now: Instant) {
+        (self.usage, self.since, self.consecutive_non_requests) = (Usage::Used, now, 0);
     }
 
-    /// Notes a message that was no request; false if there were too many.
-    fn note_useless(&mut self, now: Option<Instant>) -> bool {
-        self.useless += 1;
-        if let (Use::Used, Some(now)) = (self.used, now) {
+    /// Counts a message that was no request. False if there were too many in a row.
+    fn count_non_request(&mut self, now: Option<Instant>) -> bool {
+        self.consecutive_non_requests += 1;
+        if let (Usage::Used, Some(now)) = (self.usage, now) {
             self.since = now;
         }
-        self.useless < MAX_USELESS
+        self.consecutive_non_requests < MAX_CONSECUTIVE_NON_REQUESTS
     }
 
-    fn pass_useless(&mut self, now: Instant) {
-        if !self.note_useless(Some(now)) {
+    /// Counts a message that was no request, and ends the connection if there were too many in a row.
+    fn skip_non_request(&mut self, now: Instant) {
+        if !self.count_non_request(Some(now)) {
             let text = "too many messages in a row were no requests";
-            self.end(Fault::Stream, sqlstate::PROTOCOL_VIOLATION, text.into());
+            self.end_with_error(Fault::Stream, sqlstate::PROTOCOL_VIOLATION, text.into());
         }
     }
 }
--- a/crates/driver/src/client/connection/limits.rs
+++ b/crates/driver/src/client/connection/limits.rs
@@ -1,25 +1,27 @@
-//! Times and counts that bound a client's connection.
+//! Limits of time and count for a client's connection.
 
 use std::time::Duration;
 
-/// A client that takes nothing of its answer for so long is gone.
+/// A connection is closed if its client takes no output for this long.
 pub const WRITE_WAIT: Duration = Duration::from_secs(5);
-/// A new connection's first request is whole within this, as is any message once it has begun.
-pub const MESSAGE_WAIT: Duration = Duration::from_secs(2);
-/// A connection without a request for so long ends.
-pub(super) const IDLE_WAIT: Duration = Duration::from_secs(20);
-/// The same once the driver is asked to end: who asks again sooner keeps being served.
-pub(super) const LEAVING_IDLE_WAIT: Duration = Duration::from_secs(1);
-/// What has just begun, a connection or a message, is not asked to make room for so long.
-pub const SPARED: Duration = Duration::from_millis(100);
-/// Messages in a row that are no requests end a connection.
-pub(super) const MAX_USELESS: u32 = 16;
-/// Requests of one connection that may be open at once; further ones wait to be read.
+/// Time within which a new connection's first request has to be complete, and any later message once it has
+/// begun.
+pub const MESSAGE_TIMEOUT: Duration = Duration::from_secs(2);
+/// A connection without a request for this long is closed.
+pub(super) const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// The same once the driver shuts down. A client that sends requests more often keeps being served.
+pub(super) const SHUTDOWN_IDLE_TIMEOUT: Duration = Duration::from_secs(1);
+/// A new connection, or a message that has begun, is not evicted for this long.
+pub const EVICTION_GRACE: Duration = Duration::from_millis(100);
+/// Messages in a row that are no requests, after which a connection is closed.
+pub(super) const MAX_CONSECUTIVE_NON_REQUESTS: u32 = 16;
+/// Requests of one connection that may be open at the same time. Further ones stay unread.
 pub const MAX_OPEN: usize = 64;
-/// After its own shutdown a connection takes in so much for so long, until its client ends it: closing over unread
-/// input resets the connection, which may destroy what the client was told.
+/// How long a connection reads on after the shutdown of its sending side, until its client closes it. Closing
+/// a socket with unread input resets the connection, and that may destroy output that the client has not read
+/// yet.
 pub const LINGER: Duration = Duration::from_millis(500);
-/// The bytes of that.
+/// How many bytes it reads in that time at most.
 pub const LINGER_BYTES: usize = 256 * 1024;
-/// Where its input is not read, a client's departure is looked for this often.
+/// Interval at which the socket is polled for a disconnection while its input is not read.
 pub const DEPARTURE_CHECK: Duration = Duration::from_millis(25);
--- a/crates/driver/src/client/connection/mod.rs
+++ b/crates/driver/src/client/connection/mod.rs
@@ -1,10 +1,12 @@
-//! The state of one client's connection, without I/O: bytes, answers, departures and time come in; requests, bytes to
-//! write and the way to its end come out.
+//! The state of one client's connection, without I/O. Bytes, answers, disconnections and time come in;
+//! requests, bytes to write and the steps of closing come out.
 //!
-//! Owns what the connection owes and how it ends. Never reads, writes, waits, or decides about a request.
+//! Owns what the connection owes and how it ends. It never reads, writes or waits, and decides nothing about
+//! a request.
 //!
-//! There is one way to an end, whatever its cause: nothing more is taken, what is owed is written, sending is shut, and
-//! what the client still sends is discarded up to its own end. Nothing that is read after the shutdown is ever taken.
+//! There is one way to close a connection, whatever the cause: no further request is accepted, what is owed
+//! is written, the sending side is shut down, and what the client still sends is discarded until it closes
+//! its side. Nothing that is read after the shutdown is ever processed.
 
 mod incoming;
 mod limits;
@@ -21,126 +23,135 @@
 use crate::budget::Share;
 use crate::pg::{self, sqlstate, Severity};
 
-use limits::LEAVING_IDLE_WAIT;
-pub use limits::{DEPARTURE_CHECK, LINGER, LINGER_BYTES, MAX_OPEN, MESSAGE_WAIT, SPARED, WRITE_WAIT};
+use limits::SHUTDOWN_IDLE_TIMEOUT;
+pub use limits::{
+    DEPARTURE_CHECK, EVICTION_GRACE, LINGER, LINGER_BYTES, MAX_OPEN, MESSAGE_TIMEOUT, WRITE_WAIT,
+};
 pub use steps::{Fault, Left, Look, Phase, Reading, Room, Todo, Wait};
 
 /// How a connection ends.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum End {
-    /// Between requests, or as its client said.
-    Quiet,
-    /// With an error: its code and text.
+    /// Without an error: between requests, or because the client asked for it.
+    Silent,
+    /// With an error: its SQLSTATE and message.
     Fatal(&'static str, String),
 }
 
-/// How far a connection is.
+/// The stage of a connection's life.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Stage {
-    /// Its startup message has not come.
-    Opening,
-    /// It takes requests.
+    /// The startup message has not arrived yet.
+    Startup,
+    /// Requests are accepted.
     Serving,
-    /// Nothing more is taken; what is owed is written.
-    Ending(End),
-    /// Sending is shut; what comes is discarded.
-    Draining,
+    /// No further request is accepted. What is owed is written.
+    Closing(End),
+    /// The sending side is shut down. Input is discarded.
+    Lingering,
     /// Nothing is left to do.
-    Over,
+    Closed,
 }
 
-/// An idle connection is about to end: what has come meanwhile is still taken, else it ends in this way.
+/// How an idle connection ends, unless input that has arrived meanwhile keeps it open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Parting {
-    /// Without a word.
-    Quiet,
-    /// Told why: its first request may be on the way.
-    Told(Fault, &'static str, &'static str),
+enum PendingClose {
+    /// Without an error.
+    Silent,
+    /// With an error, since the client's first request may be on its way: the cause, the SQLSTATE and the
+    /// message.
+    WithError(Fault, &'static str, &'static str),
 }
 
-/// What a connection was good for so far.
+/// Whether a connection has carried a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Use {
-    /// No request has come yet.
+enum Usage {
+    /// No request has arrived yet.
     New,
-    /// One has.
+    /// At least one request has arrived.
     Used,
 }
 
 /// An answer that is owed.
-enum Due {
-    /// To a request that is open.
-    Open { id: RequestId, name: Rc<[u8]>, cancel_flag: CancelFlag, _large: Option<Share> },
-    /// Ready to be written.
-    Ready { bytes: Vec<u8>, _large: Option<Share> },
+enum QueuedAnswer {
+    /// The answer of a request that is still open.
+    Pending { id: RequestId, name: Rc<[u8]>, cancel_flag: CancelFlag, _large_permit: Option<Share> },
+    /// An answer that is ready to be written.
+    Ready { bytes: Vec<u8>, _large_permit: Option<Share> },
 }
 
 /// An answer that is being written.
 struct Output {
     bytes: Vec<u8>,
     written: usize,
-    /// Its client asked for it, after the startup.
+    /// Whether the client asked for it, after the startup message.
     is_answer: bool,
-    _large: Option<Share>,
+    _large_permit: Option<Share>,
 }
 
 /// The state of a client's connection.
 pub struct Connection {
     stage: Stage,
-    parting: Option<Parting>,
-    used: Use,
-    /// When the connection began or, once it was of use, its message at hand, its rest, or its draining.
+    /// Set while an idle connection is about to be closed.
+    pending_close: Option<PendingClose>,
+    usage: Usage,
+    /// When the connection began. Later, when the message in the buffer, the idle time or the lingering
+    /// began.
     since: Instant,
-    /// When its client took some of the output last.
-    moved: Instant,
+    /// When the client last took some of the output.
+    output_progress_at: Instant,
     /// Messages in a row that were no requests.
-    useless: u32,
-    /// After an error in the extended protocol, all is passed over up to the next Sync.
-    skipping: bool,
-    /// What is owed, in the order of the messages that asked for it.
-    queue: VecDeque<Due>,
+    consecutive_non_requests: u32,
+    /// Set after an error in the extended protocol: messages are skipped up to the next Sync.
+    skips_to_sync: bool,
+    /// The answers that are owed, in the order of the messages that asked for them.
+    answers: VecDeque<QueuedAnswer>,
     output: Option<Output>,
-    /// Bytes that were thrown away.
-    discarded: usize,
+    /// Bytes that were discarded since the connection began to close.
+    discarded_bytes: usize,
     /// Whether any answer was written whole.
-    answered: bool,
-    /// Whether requests were cancelled: their answers may still come.
-    cancelled: bool,
+    has_answered: bool,
+    /// Whether requests were cancelled. Answers to them may still arrive.
+    has_cancelled: bool,
+    /// Why the connection ended with an error.
     fault: Option<Fault>,
-    /// What its client may cancel its requests by.
-    key: u64,
+    /// The key by which the client may cancel its requests.
+    cancel_key: u64,
 }
 
 impl Connection {
-    /// A connection that has just come up.
-    pub fn new(key: u64, now: Instant) -> Self {
+    /// The state of a connection that was just accepted.
+    pub fn new(cancel_key: u64, now: Instant) -> Self {
         Connection {
-            stage: Stage::Opening,
-            parting: None,
-            used: Use::New,
+            stage: Stage::Startup,
+            pending_close: None,
+            usage: Usage::New,
             since: now,
-            moved: now,
-            useless: 0,
-            skipping: false,
-            queue: VecDeque::new(),
+            output_progress_at: now,
+            consecutive_non_requests: 0,
+            skips_to_sync: false,
+            answers: VecDeque::new(),
             output: None,
-            discarded: 0,
-            answered: false,
-            cancelled: false,
+            discarded_bytes: 0,
+            has_answered: false,
+            has_cancelled: false,
             fault: None,
-            key,
+            cancel_key,
         }
     }
 
-    /// Notes the answer of an open request, which is written once all before it are; its name, or none if it is not
-    /// open here.
+    /// Notes the answer to an open request. It is written after all answers before it. Returns the client's
+    /// id of the request; None if the request is not open here.
     pub fn answered(&mut self, of: RequestId, answer: Answer) -> Option<Rc<[u8]>> {
-        let due = self.queue.iter_mut().find(|due| matches!(due, Due::Open { id, .. } if *id == of))?;
-        let (mut bytes, mut large) = (Vec::new(), None);
+        let queued = self
+            .answers
+            .iter_mut()
+            .find(|queued| matches!(queued, QueuedAnswer::Pending { id, .. } if *id == of))?;
+        let (mut bytes, mut large_permit) = (Vec::new(), None);
         match answer {
-            Answer::Served(served) => (bytes, large) = (served.messages, served.large),
-            Answer::Refused(pause) => {
-                let detail = (pause > 0).then(|| pause.div_ceil(1000).to_string());
+            Answer::Served(served) => (bytes, large_permit) = (served.messages, served.large),
+            Answer::Refused(retry_after) => {
+                let detail = (retry_after > 0).then(|| retry_after.div_ceil(1000).to_string());
                 let (code, text) = (sqlstate::TOO_MANY_CONNECTIONS, "refused; trying again is harmless");
                 pg::put_error(&mut bytes, Severity::Error, code, text, detail.as_deref());
             }
@@ -150,121 +161,128 @@
             }
         }
         pg::put_ready(&mut bytes);
-        match std::mem::replace(due, Due::Ready { bytes, _large: large }) {
-            Due::Open { name, .. } => Some(name),
-            Due::Ready { .. } => None,
+        match std::mem::replace(queued, QueuedAnswer::Ready { bytes, _large_permit: large_permit }) {
+            QueuedAnswer::Pending { name, .. } => Some(name),
+            QueuedAnswer::Ready { .. } => None,
         }
     }
 
-    /// It is asked to make room for others; `begun`: part of a message is at hand.
+    /// Asks the connection to close, so that others get its descriptor. `begun`: the buffer holds part of a
+    /// message.
     pub fn make_room(&mut self, phase: Phase, begun: bool, now: Instant) -> Room {
         match self.stage {
-            Stage::Draining => self.stage = Stage::Over,
-            Stage::Opening | Stage::Serving if !self.owes() && phase == Phase::Closing => {
+            Stage::Lingering => self.stage = Stage::Closed,
+            Stage::Startup | Stage::Serving if !self.owes_output() && phase == Phase::Closing => {
                 self.expire(phase, begun);
             }
-            Stage::Opening | Stage::Serving if !self.owes() => {
-                if phase == Phase::Leaving && now < self.since + LEAVING_IDLE_WAIT {
+            Stage::Startup | Stage::Serving if !self.owes_output() => {
+                if phase == Phase::Leaving && now < self.since + SHUTDOWN_IDLE_TIMEOUT {
                     return Room::InUse;
                 }
-                let at_work = begun || self.used == Use::New;
+                let is_active = begun || self.usage == Usage::New;
                 let text = "no room for a connection without a request";
-                let told = Parting::Told(Fault::Room, sqlstate::TOO_MANY_CONNECTIONS, text);
-                self.parting = Some(if at_work { told } else { Parting::Quiet });
+                let with_error = PendingClose::WithError(Fault::Room, sqlstate::TOO_MANY_CONNECTIONS, text);
+                self.pending_close = Some(if is_active { with_error } else { PendingClose::Silent });
             }
             _ => return Room::InUse,
         }
         Room::Made
     }
 
-    /// The bytes to write now; none: nothing is ready.
+    /// The bytes to write now. None if no output is ready.
     pub fn output(&mut self, now: Instant) -> Option<&[u8]> {
         if self.output.is_none() {
-            if let Some(Due::Ready { .. }) = self.queue.front() {
-                if let Some(Due::Ready { bytes, _large }) = self.queue.pop_front() {
-                    self.write(bytes, true, _large, now);
+            if let Some(QueuedAnswer::Ready { .. }) = self.answers.front() {
+                if let Some(QueuedAnswer::Ready { bytes, _large_permit }) = self.answers.pop_front() {
+                    self.start_output(bytes, true, _large_permit, now);
                 }
-            } else if let (true, Stage::Ending(End::Fatal(code, text))) = (self.queue.is_empty(), &self.stage)
+            } else if let (true, Stage::Closing(End::Fatal(code, text))) =
+                (self.answers.is_empty(), &self.stage)
             {
                 let mut bytes = Vec::new();
                 pg::put_error(&mut bytes, Severity::Fatal, code, text, None);
-                self.stage = Stage::Ending(End::Quiet);
-                self.write(bytes, true, None, now);
+                self.stage = Stage::Closing(End::Silent);
+                self.start_output(bytes, true, None, now);
             }
         }
         self.output.as_ref().map(|output| &output.bytes[output.written..])
     }
 
-    /// So many of these were written.
+    /// Notes how many of these bytes were written.
     pub fn wrote(&mut self, count: usize, now: Instant) {
         let Some(output) = &mut self.output else { return };
         output.written += count;
-        self.moved = now;
+        self.output_progress_at = now;
         if output.written >= output.bytes.len() {
             if output.is_answer {
-                (self.answered, self.since) = (true, now);
+                (self.has_answered, self.since) = (true, now);
             }
             self.output = None;
         }
     }
 
-    /// The sending side is shut.
+    /// Notes that the sending side is shut down.
     pub fn shut(&mut self, now: Instant) {
-        (self.stage, self.since) = (Stage::Draining, now);
+        (self.stage, self.since) = (Stage::Lingering, now);
     }
 
-    /// The last look found nothing.
+    /// Notes that the last check for input found none.
     pub fn nothing_came(&mut self) {
-        match self.parting.take() {
+        match self.pending_close.take() {
             None => {}
-            Some(Parting::Quiet) => self.stage = Stage::Ending(End::Quiet),
-            Some(Parting::Told(fault, code, text)) => self.end(fault, code, text.into()),
+            Some(PendingClose::Silent) => self.stage = Stage::Closing(End::Silent),
+            Some(PendingClose::WithError(fault, code, text)) => self.end_with_error(fault, code, text.into()),
         }
     }
 
-    /// Whether it ends before anything was answered on it.
+    /// Whether no answer was written whole so far.
     pub fn is_unanswered(&self) -> bool {
-        !self.answered
+        !self.has_answered
     }
 
-    /// How many answers are owed.
+    /// The number of answers that are owed.
     pub fn owed(&self) -> usize {
-        self.queue.len()
+        self.answers.len()
     }
 
-    /// Whether requests of it were cancelled: answers to these are for nobody.
+    /// Whether requests were cancelled. Answers to them are dropped.
     pub fn has_cancelled(&self) -> bool {
-        self.cancelled
+        self.has_cancelled
     }
 
-    /// Why it ended with an error, if so.
+    /// Why the connection ended with an error, if it did.
     pub fn fault(&self) -> Option<Fault> {
         self.fault
     }
 
-    /// Whole length of the message at hand; 0 as long as it is not known.
+    /// The whole length of the message that the buffer begins with; 0 while it is not known.
     pub fn length(&self, bytes: &[u8]) -> usize {
         match self.stage {
-            Stage::Opening => pg::opening_length(bytes),
+            Stage::Startup => pg::opening_length(bytes),
             _ => pg::length(bytes),
         }
     }
 
-    fn owes(&self) -> bool {
-        let tells = matches!(self.stage, Stage::Ending(End::Fatal(..)));
-        !self.queue.is_empty() || self.output.is_some() || tells
+    /// Whether any answer or error still has to be written.
+    fn owes_output(&self) -> bool {
+        let owes_error = matches!(self.stage, Stage::Closing(End::Fatal(..)));
+        !self.answers.is_empty() || self.output.is_some() || owes_error
     }
 
-    fn owe(&mut self, bytes: Vec<u8>) {
-        self.queue.push_back(Due::Ready { bytes, _large: None });
+    /// Queues bytes that are ready to be written.
+    fn queue_bytes(&mut self, bytes: Vec<u8>) {
+        self.answers.push_back(QueuedAnswer::Ready { bytes, _large_permit: None });
     }
 
-    fn write(&mut self, bytes: Vec<u8>, is_answer: bool, _large: Option<Share>, now: Instant) {
-        (self.output, self.moved) = (Some(Output { bytes, written: 0, is_answer, _large }), now);
+    /// Begins to write these bytes.
+    fn start_output(&mut self, bytes: Vec<u8>, is_answer: bool, _large_permit: Option<Share>, now: Instant) {
+        (self.output, self.output_progress_at) =
+            (Some(Output { bytes, written: 0, is_answer, _large_permit }), now);
     }
 
-    fn end(&mut self, fault: Fault, code: &'static str, text: String) {
+    /// Ends the connection with an error, after what is owed has been written.
+    fn end_with_error(&mut self, fault: Fault, code: &'static str, text: String) {
         self.fault = Some(fault);
-        self.stage = Stage::Ending(End::Fatal(code, text));
+        self.stage = Stage::Closing(End::Fatal(code, text));
     }
 }
--- a/crates/driver/src/client/connection/steps.rs
+++ b/crates/driver/src/client/connection/steps.rs
@@ -1,4 +1,4 @@
-//! What a client's connection is told, and what it asks its actor to do: typed steps, without state.
+//! Types that the connection's state and its actor exchange. They hold no state of their own.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -7,12 +7,12 @@
 
 use crate::descriptors::Rank;
 
-/// How long connections stay.
+/// How long connections are kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// As long as they are of use.
+    /// As long as they are used.
     Serving,
-    /// The driver was asked to end: as long as they are in use.
+    /// The driver was asked to shut down: as long as they are in use.
     Leaving,
     /// Until they have no open request.
     Closing,
@@ -21,37 +21,37 @@
 /// Why a connection ended with an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Its stream could not be followed.
+    /// The client's byte stream could not be parsed.
     Stream,
-    /// There was no room for it.
+    /// There was no free descriptor for it.
     Room,
-    /// The driver ended.
+    /// The driver shut down.
     Ending,
 }
 
-/// What a look at the bytes at hand found.
+/// The next input in the buffer.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Look<'b> {
-    /// Nothing more can be taken: no message is whole, or none may be looked at now.
+    /// Nothing can be processed now: no message is complete, or the connection does not accept one yet.
     Nothing,
-    /// So many bytes are done with.
+    /// This many bytes have been processed.
     Passed(usize),
-    /// The startup message, of this length: who its client says to be.
+    /// The startup message, which is to be consumed: it names the user and the database.
     Login(&'b [u8]),
-    /// A wish to give up what is under way on the connection of this key.
+    /// A request to cancel what is open on the connection with this key, and the length of the message.
     Cancel(u64, usize),
-    /// A statement, and the length of its message. `took` or `declined` tells what became of it.
+    /// A statement, and the length of its message. `took` or `declined` reports whether it was accepted.
     Request(&'b [u8], usize),
 }
 
-/// What is to be read.
+/// What to read from the socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reading {
     /// Messages.
     Messages,
-    /// Messages that can't be looked at yet: only as many as take usual room.
+    /// Messages that can't be processed yet: only as many bytes as a buffer of the usual size holds.
     Ahead,
-    /// Whatever comes, to be thrown away.
+    /// Any bytes, which are discarded.
     Discard,
     /// Nothing for now.
     Nothing,
@@ -62,44 +62,44 @@
 pub struct Wait {
     /// What is read meanwhile.
     pub reading: Reading,
-    /// Something can be written.
+    /// Whether output waits for the socket.
     pub writing: bool,
-    /// When to look again, whatever comes.
+    /// When the connection has to be examined again, whatever else happens.
     pub until: Option<Instant>,
-    /// From when it may be asked to make room, and its rank among those.
+    /// From when the connection counts as idle and may be evicted, and its rank among those.
     pub rest: Option<(Instant, Rank)>,
-    /// Requests are open: a departure has to be seen though nothing is read.
+    /// Whether requests are open, so that a disconnection has to be noticed even while nothing is read.
     pub watches: bool,
 }
 
-/// What to do next.
+/// The next step of a connection's actor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Todo {
     /// Wait.
     Wait(Wait),
-    /// Write what is ready, then ask again.
+    /// Write the output that is ready, then ask again.
     Write,
-    /// Look once, without waiting, whether anything has come; `read` or `nothing_came` tells.
+    /// Check once, without waiting, whether input has arrived; `read` or `nothing_came` reports the result.
     LastLook,
-    /// Shut the sending side; `shut` tells that it is done.
+    /// Shut down the sending side; `shut` reports that it is done.
     Shut,
-    /// Close the socket: nothing is owed to anybody.
+    /// Close the socket: nothing is owed to the client.
     Close,
 }
 
-/// What a wish to make room comes to.
+/// The answer to a request to close a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Room {
-    /// It goes.
+    /// The connection closes.
     Made,
-    /// It is in use: another one is to be asked.
+    /// The connection is in use; another one has to be asked.
     InUse,
 }
 
-/// A request that its client has left.
+/// A request that its client has left or cancelled.
 pub struct Left {
-    /// Which.
+    /// The id that the driver gave it.
     pub id: RequestId,
-    /// What its client called it.
+    /// The id that the client gave it.
     pub name: Rc<[u8]>,
 }
