--- a/crates/driver/src/http.rs
+++ b/crates/driver/src/http.rs
@@ -1,19 +1,19 @@
-//! HTTP/1.1 as far as discovery needs it: a request's text, a response's head, and its chunked or plain body.
-//! Pure, incremental and bounded.
+//! HTTP/1.1 as far as discovery needs it: the text of a request, the head of a response, and its body,
+//! chunked or not. Pure, incremental and bounded.
 
 use std::fmt;
 
-/// Bound on a response's head.
-const MAX_HEAD: usize = 8 * 1024;
-/// Bound on a chunk's size line.
-const MAX_SIZE_LINE: usize = 256;
+/// Longest head of a response in bytes.
+const MAX_HEAD_BYTES: usize = 8 * 1024;
+/// Longest line of a chunked body in bytes, such as a chunk's size.
+const MAX_CHUNK_LINE_BYTES: usize = 256;
 
-/// Why a response can't be followed any further.
+/// Why a response can't be parsed any further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Broken {
-    /// The head is over its bound or can't be read.
+    /// The head is too long or malformed.
     Head,
-    /// A chunk's frame can't be read.
+    /// The framing of a chunk is malformed.
     Chunk,
 }
 
@@ -26,29 +26,30 @@
     }
 }
 
-/// The text of a GET request on a connection that serves no other.
+/// The text of a GET request. The connection carries no further request.
 pub fn get(target: &str, host: &str) -> String {
     format!("GET {target} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\nConnection: close\r\n\r\n")
 }
 
-/// How a response's body is framed.
+/// How the body of a response is framed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Framing {
-    /// So many bytes are left.
+    /// A body of known length, with the number of bytes that are left.
     Length(u64),
-    /// Chunks; what comes next is a size line, so many bytes of data, or the line end after them.
+    /// A chunked body. Next is the line with a chunk's size, the given number of bytes of its data, or the
+    /// line end behind them.
     ChunkSize,
     ChunkData(u64),
     ChunkEnd,
     /// The lines after the last chunk.
     Trailer,
-    /// All until the connection ends.
+    /// The body ends with the connection.
     UntilClose,
-    /// The body is whole.
+    /// The body is complete.
     Done,
 }
 
-/// A response's head, then what is left of its body.
+/// A response: its head, and the state of reading its body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Response {
     /// The status code.
@@ -56,12 +57,14 @@
     framing: Framing,
 }
 
-/// Reads a response's head; none as long as it is not whole. With it comes the number of bytes that it took.
+/// Parses the head of a response. Returns the response and the number of bytes that its head took, or None
+/// while the head is incomplete.
 pub fn head(bytes: &[u8]) -> Result<Option<(Response, usize)>, Broken> {
     let Some(end) = bytes.windows(4).position(|w| w == b"\r\n\r\n") else {
-        return if bytes.len() > MAX_HEAD { Err(Broken::Head) } else { Ok(None) };
+        return if bytes.len() > MAX_HEAD_BYTES { Err(Broken::Head) } else { Ok(None) };
     };
-    let text = std::str::from_utf8(&bytes[..end]).ok().filter(|t| t.len() <= MAX_HEAD).ok_or(Broken::Head)?;
+    let text =
+        std::str::from_utf8(&bytes[..end]).ok().filter(|t| t.len() <= MAX_HEAD_BYTES).ok_or(Broken::Head)?;
     let mut lines = text.split("\r\n");
     let status = lines.next().and_then(|line| line.strip_prefix("HTTP/1.")).ok_or(Broken::Head)?;
     let status = status.split(' ').nth(1).and_then(|s| s.parse().ok()).ok_or(Broken::Head)?;
@@ -80,7 +83,8 @@
 }
 
 impl Response {
-    /// Takes what it can of the body and adds its data; tells how many bytes that took.
+    /// Reads the body as far as these bytes go, and appends its data. Returns the number of bytes that were
+    /// read.
     pub fn body(&mut self, bytes: &[u8], data: &mut Vec<u8>) -> Result<usize, Broken> {
         let mut at = 0;
         loop {
@@ -107,25 +111,26 @@
                     return Ok(bytes.len());
                 }
                 Framing::ChunkSize | Framing::ChunkEnd | Framing::Trailer => {
-                    let Some(line) = line(rest)? else { return Ok(at) };
+                    let Some(line) = split_line(rest)? else { return Ok(at) };
                     at += line.len() + 2;
-                    self.framing = self.after_line(line)?;
+                    self.framing = self.framing_after_line(line)?;
                 }
             }
         }
     }
 
-    /// Whether the body lasts until the connection ends.
+    /// Whether the body ends with the connection.
     pub fn ends_with_connection(&self) -> bool {
         self.framing == Framing::UntilClose
     }
 
-    /// Whether the body is whole.
+    /// Whether the body is complete.
     pub fn is_done(&self) -> bool {
         matches!(self.framing, Framing::Done | Framing::Length(0))
     }
 
-    fn after_line(&self, line: &[u8]) -> Result<Framing, Broken> {
+    /// What follows a line of a chunked body.
+    fn framing_after_line(&self, line: &[u8]) -> Result<Framing, Broken> {
         match self.framing {
             Framing::ChunkSize => {
                 let digits = line.split(|&b| b == b';').next().unwrap_or_default().trim_ascii();
@@ -144,11 +149,11 @@
     }
 }
 
-/// A line without its end; none as long as it is not whole.
-fn line(bytes: &[u8]) -> Result<Option<&[u8]>, Broken> {
+/// Splits off a line, without its line end. None while the line is incomplete.
+fn split_line(bytes: &[u8]) -> Result<Option<&[u8]>, Broken> {
     match bytes.windows(2).position(|w| w == b"\r\n") {
-        Some(end) if end <= MAX_SIZE_LINE => Ok(Some(&bytes[..end])),
-        None if bytes.len() <= MAX_SIZE_LINE + 1 => Ok(None),
+        Some(end) if end <= MAX_CHUNK_LINE_BYTES => Ok(Some(&bytes[..end])),
+        None if bytes.len() <= MAX_CHUNK_LINE_BYTES + 1 => Ok(None),
         _ => Err(Broken::Chunk),
     }
 }
