--- a/crates/driver/src/client/mod.rs
+++ b/crates/driver/src/client/mod.rs
@@ -103,8 +103,8 @@
         }
     }
 
-    /// Closes connections as they become idle. Requests that are still accepted have to be answered within the
-    /// given time.
+    /// Closes connections as they become idle. Requests that are still accepted have to be answered within
+    /// the given time.
     pub fn leave(&self, left: Duration) {
         self.phase.set(Phase::Leaving);
         self.ends.set(self.node.clock.now() + left.as_micros() as Micros);
--- a/crates/driver/src/module/mod.rs
+++ b/crates/driver/src/module/mod.rs
@@ -486,7 +486,8 @@
     }
 
     /// Records table sizes and zone states for the log, and fails requests that were not answered by their
-    /// deadline. The decision module answers each in time; should it fail to, the client still gets an answer.
+    /// deadline. The decision module answers each in time; should it fail to, the client still gets an
+    /// answer.
     fn sweep_overdue(&mut self) {
         let now = self.node.clock.now();
         if now < self.last_sweep + SWEEP_INTERVAL_US {
