--- a/crates/driver/src/client/connection/steps.rs
+++ b/crates/driver/src/client/connection/steps.rs
@@ -10,9 +10,9 @@
 /// How long connections are kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// As long as they are used.
+    /// Until they have been idle for too long.
     Serving,
-    /// The driver was asked to shut down: as long as they are in use.
+    /// The driver was asked to shut down: only while they are in use.
     Leaving,
     /// Until they have no open request.
     Closing,
--- a/crates/driver/src/member/told.rs
+++ b/crates/driver/src/member/told.rs
@@ -32,7 +32,8 @@
         }
     }
 
-    /// What a probe found out, as a report: a note that came with the answer also counts as one.
+    /// What a probe found out, as a report. A note that came with the answer counts as a report of the time of
+    /// its position.
     pub fn as_report(&self) -> Report {
         let position = self.report.position.max(self.note.position);
         Report { position, role: self.note.role.or(self.report.role), ..self.report }
