--- a/crates/driver/src/shutdown/course.rs
+++ b/crates/driver/src/shutdown/course.rs
@@ -1,110 +1,121 @@
-//! The course from the signal to the program's end, without I/O: the signal, the number of connections and time come
-//! in; the steps come out, each once and in order.
+//! State machine of a graceful shutdown, without I/O: its inputs are the stop signal, the number of open connections
+//! and the time; its outputs are the steps of the shutdown, each exactly once and in order.
 //!
-//! Owns which step is next and when. Never accepts, answers or closes anything itself.
+//! It decides which step is next and when it is due. Accepting, answering and closing are done by the caller.
 
 use std::time::{Duration, Instant};
 
-/// New connections still come for so long after the signal: they are taken.
+/// Shortest time between the signal and the closing of the listener: clients that have not yet noticed the shutdown
+/// keep connecting, and are accepted.
 pub const TURNING: Duration = Duration::from_millis(500);
-/// No connection left for so long, and the driver ends.
+/// Once no connection has been open for this long, the driver shuts down without using the rest of its time.
 pub const QUIET: Duration = Duration::from_millis(200);
-/// The signal leaves the time of the longest request, at most this much...
-const LONGEST: Duration = Duration::from_secs(3);
-/// ...and so long for what comes after it, of which the last part is for the last answers.
-const GRACE: Duration = Duration::from_millis(700);
-/// Time for the last answers: from the step that closes all to the end, but for a third of it that stays free.
+/// Upper bound on the longest request's time that a shutdown allows for.
+const MAX_REQUEST_TIME: Duration = Duration::from_secs(3);
+/// Time that a shutdown may take in addition to the longest request's time. It includes [`LAST_ANSWERS`].
+const SHUTDOWN_MARGIN: Duration = Duration::from_millis(700);
+/// Time reserved for the final answers after [`Step::Close`]. The driver exits after two thirds of it; the last third
+/// is a reserve.
 pub const LAST_ANSWERS: Duration = Duration::from_millis(300);
 
-/// A step on the way.
+/// A step of the shutdown, carried out by the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Idle connections may go; what is taken has to be answered within so long.
+    /// Close connections as they become idle. Requests accepted from now on have to be answered within this time.
     Leave(Duration),
-    /// Take what waits to be accepted, listen no more, answer all that is open, and end every connection.
+    /// Accept the connections that are still queued, close the listener, answer all open requests and end every
+    /// connection.
     Close,
-    /// End the program.
+    /// Exit the program.
     End,
 }
 
-/// How far it is.
+/// Progress of the shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
     Serving,
-    /// The signal came.
+    /// The signal was received; no step has been taken yet.
     Signalled,
-    /// Who still asks is served: it may have nowhere else to go yet.
-    Leaving,
-    /// Only what was taken is answered.
+    /// New requests are still served: their clients may not have another router to go to yet.
+    Draining,
+    /// Only requests that were already accepted are answered.
     Closing,
     Ended,
 }
 
-/// The course.
+/// Progress of one driver from serving to its exit.
 #[derive(Debug)]
 pub struct Course {
     stage: Stage,
-    /// Longest time that a request may take.
-    longest: Duration,
-    signalled: Instant,
-    /// When all was closed: later than it should be, where the driver stood still.
-    closed: Instant,
-    /// Since when there has been no connection.
+    /// Longest time that a request may take, at most [`MAX_REQUEST_TIME`].
+    max_request_time: Duration,
+    signalled_at: Instant,
+    /// When [`Step::Close`] was taken. Later than scheduled if the process was stalled.
+    closed_at: Instant,
+    /// Since when no connection has been open; `None` while there is one.
     empty_since: Option<Instant>,
 }
 
 impl Course {
-    /// A driver that serves, whose requests take so long at the longest.
-    pub fn new(longest: Duration, now: Instant) -> Self {
-        let longest = longest.min(LONGEST);
-        Course { stage: Stage::Serving, longest, signalled: now, closed: now, empty_since: Some(now) }
+    /// Creates the state of a driver that serves requests of at most this duration.
+    pub fn new(max_request_time: Duration, now: Instant) -> Self {
+        let max_request_time = max_request_time.min(MAX_REQUEST_TIME);
+        Course {
+            stage: Stage::Serving,
+            max_request_time,
+            signalled_at: now,
+            closed_at: now,
+            empty_since: Some(now),
+        }
     }
 
-    /// It is asked to end; a second time changes nothing.
+    /// Records the stop signal. Further signals have no effect.
     pub fn signal(&mut self, now: Instant) {
         if self.stage == Stage::Serving {
-            (self.stage, self.signalled) = (Stage::Signalled, now);
+            (self.stage, self.signalled_at) = (Stage::Signalled, now);
             self.empty_since = self.empty_since.map(|_| now);
         }
     }
 
-    /// There are so many connections now.
+    /// Records the number of open connections.
     pub fn connections(&mut self, count: usize, now: Instant) {
         self.empty_since = if count == 0 { self.empty_since.or(Some(now)) } else { None };
     }
 
-    /// Whether it listens no more.
+    /// Whether the listener has been closed.
     pub fn is_closing(&self) -> bool {
         matches!(self.stage, Stage::Closing | Stage::Ended)
     }
 
-    /// When the next step is due if nothing changes; none: it waits for the signal.
+    /// When the next step is due if nothing changes; `None` while serving and after the last step.
     pub fn due(&self) -> Option<Instant> {
         let quiet = self.empty_since.map(|since| since + QUIET);
         match self.stage {
-            Stage::Signalled => Some(self.signalled),
+            Stage::Signalled => Some(self.signalled_at),
             Stage::Serving | Stage::Ended => None,
-            Stage::Leaving => {
-                let quiet = quiet.map(|at| at.max(self.signalled + TURNING));
-                Some(quiet.unwrap_or(self.closes()).min(self.closes()))
+            Stage::Draining => {
+                let quiet = quiet.map(|at| at.max(self.signalled_at + TURNING));
+                Some(quiet.unwrap_or(self.close_deadline()).min(self.close_deadline()))
+            }
+            // Without connections nothing more can arrive, so the exit is due at once.
+            Stage::Closing => {
+                Some(self.empty_since.unwrap_or(self.exit_deadline()).min(self.exit_deadline()))
             }
-            // Nobody is left: nothing can come any more.
-            Stage::Closing => Some(self.empty_since.unwrap_or(self.ends()).min(self.ends())),
         }
     }
 
-    /// The next step, if it is due.
+    /// Takes and returns the next step, if it is due.
     pub fn step(&mut self, now: Instant) -> Option<Step> {
         if self.due().is_none_or(|due| now < due) {
             return None;
         }
         match self.stage {
             Stage::Signalled => {
-                self.stage = Stage::Leaving;
-                Some(Step::Leave(self.closes().saturating_duration_since(now)))
+                self.stage = Stage::Draining;
+                Some(Step::Leave(self.close_deadline().saturating_duration_since(now)))
             }
-            Stage::Leaving => {
-                (self.stage, self.closed) = (Stage::Closing, now);
+            Stage::Draining => {
+                (self.stage, self.closed_at) = (Stage::Closing, now);
                 Some(Step::Close)
             }
             Stage::Closing => {
@@ -115,13 +126,13 @@
         }
     }
 
-    /// When all that is open is answered, whoever still asks.
-    fn closes(&self) -> Instant {
-        self.signalled + self.longest + GRACE - LAST_ANSWERS
+    /// Latest time of [`Step::Close`], even if clients still send requests.
+    fn close_deadline(&self) -> Instant {
+        self.signalled_at + self.max_request_time + SHUTDOWN_MARGIN - LAST_ANSWERS
     }
 
-    /// When it ends, whatever is left: half a request, or an answer that nobody reads.
-    fn ends(&self) -> Instant {
-        self.closed + LAST_ANSWERS * 2 / 3
+    /// Latest time of [`Step::End`], even if an incomplete request or an unread answer is left.
+    fn exit_deadline(&self) -> Instant {
+        self.closed_at + LAST_ANSWERS * 2 / 3
     }
 }
--- a/crates/driver/src/shutdown/mod.rs
+++ b/crates/driver/src/shutdown/mod.rs
@@ -1,6 +1,6 @@
-//! Accepting clients until the driver is told to stop, and the way from there to its end.
+//! Accepts clients until the driver is told to stop, then shuts it down gracefully.
 //!
-//! Owns the listener. Which step is next and when is decided by `course`, without I/O.
+//! Owns the listener. The steps of the shutdown and their times are decided by [`course`], without I/O.
 
 pub mod course;
 
@@ -22,19 +22,20 @@
 
 use course::{Course, Step, LAST_ANSWERS};
 
-/// Pause after an accept that failed.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Those that wait to be accepted at the end get a place within this: idle ones have just been asked to go.
-const LAST_PLACES: Duration = LAST_ANSWERS.saturating_sub(Duration::from_millis(200));
+/// Pause after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// How long queued connections may wait for a descriptor during the shutdown. Idle connections have just been asked to
+/// close, so descriptors become free.
+const FINAL_ACCEPT_TIME: Duration = LAST_ANSWERS.saturating_sub(Duration::from_millis(200));
 
-/// What moves the course on.
+/// What ends a wait of the accept loop.
 enum Wake {
     Signal,
     Accepted(Option<(Async<std::net::TcpStream>, Permit)>),
     Time,
 }
 
-/// Accepts clients; once `stop` is ready, has all that was taken answered, and ends.
+/// Accepts clients until `stop` completes, then has every accepted request answered and returns.
 pub async fn serve(
     node: Rc<Node>,
     listener: Async<TcpListener>,
@@ -42,33 +43,33 @@
     emptied: Receiver<()>,
     stop: impl Future<Output = ()>,
 ) {
-    let longest = node.site.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
-    let mut course = Course::new(Duration::from_micros(longest), Instant::now());
-    let (mut stop, mut stopping, mut listener) = (pin!(stop), false, Some(listener));
-    let mut failing = false;
+    let max_deadline = node.site.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
+    let mut shutdown = Course::new(Duration::from_micros(max_deadline), Instant::now());
+    let (mut stop, mut stop_received, mut listener) = (pin!(stop), false, Some(listener));
+    let mut accept_failed = false;
     loop {
-        course.connections(clients.count(), Instant::now());
-        match course.step(Instant::now()) {
+        shutdown.connections(clients.count(), Instant::now());
+        match shutdown.step(Instant::now()) {
             None => {}
             Some(Step::Leave(left)) => {
-                info!("stopping: no further requests are wanted");
+                info!("stopping: idle connections are closed, open requests are answered");
                 clients.leave(left);
                 continue;
             }
             Some(Step::Close) => {
                 clients.close();
                 if let Some(listener) = listener.take() {
-                    accept_rest(&node, listener, &clients).await;
+                    accept_queued(&node, listener, &clients).await;
                 }
                 continue;
             }
             Some(Step::End) => {
-                info!("stopped: all that was taken is answered");
+                info!("stopped: shutdown complete");
                 return;
             }
         }
         let signal = async {
-            match stopping {
+            match stop_received {
                 true => future::pending().await,
                 false => stop.as_mut().await,
             }
@@ -76,12 +77,12 @@
         };
         let accepted = async {
             match &listener {
-                Some(listener) => Wake::Accepted(accept(&node, listener, &mut failing).await),
+                Some(listener) => Wake::Accepted(accept(&node, listener, &mut accept_failed).await),
                 None => future::pending().await,
             }
         };
         let time = async {
-            match course.due() {
+            match shutdown.due() {
                 Some(at) => drop(Timer::at(at).await),
                 None => future::pending().await,
             }
@@ -93,44 +94,44 @@
         };
         match future::or(signal, future::or(time, future::or(empty, accepted))).await {
             Wake::Signal => {
-                stopping = true;
-                course.signal(Instant::now());
+                stop_received = true;
+                shutdown.signal(Instant::now());
             }
-            Wake::Accepted(Some((stream, place))) => clients.welcome(stream, place),
+            Wake::Accepted(Some((stream, permit))) => clients.welcome(stream, permit),
             Wake::Accepted(None) | Wake::Time => {}
         }
     }
 }
 
-/// The next client's connection, with its place; none after a failure, and a pause.
+/// Accepts the next client, with a permit for its descriptor. After a failure it pauses and returns `None`.
 async fn accept(
     node: &Node,
     listener: &Async<TcpListener>,
-    failing: &mut bool,
+    accept_failed: &mut bool,
 ) -> Option<(Async<std::net::TcpStream>, Permit)> {
-    let place = node.place(&node.descriptors.clients).await;
+    let permit = node.place(&node.descriptors.clients).await;
     match listener.accept().await {
         Ok((stream, _)) => {
-            *failing = false;
-            Some((stream, place))
+            *accept_failed = false;
+            Some((stream, permit))
         }
         Err(e) => {
-            if !std::mem::replace(failing, true) {
-                warn!("accepting a client failed: {e}");
+            if !std::mem::replace(accept_failed, true) {
+                warn!("accepting a client connection failed: {e}; further failures in a row are not logged");
             }
-            Timer::after(ACCEPT_PAUSE).await;
+            Timer::after(ACCEPT_RETRY_DELAY).await;
             None
         }
     }
 }
 
-/// Takes what waits to be accepted, then listens no more: who connected to this machine is not to be reset unheard, and
-/// who comes later finds nobody and can go elsewhere.
-async fn accept_rest(node: &Node, listener: Async<TcpListener>, clients: &Rc<Clients>) {
-    let end = Instant::now() + LAST_PLACES;
-    while let Some(place) = until(end, node.place(&node.descriptors.clients)).await {
+/// Accepts all queued connections, then closes the listener. A client that is already connected at TCP level is not
+/// reset without an answer, and one that connects later is refused and can use another router.
+async fn accept_queued(node: &Node, listener: Async<TcpListener>, clients: &Rc<Clients>) {
+    let deadline = Instant::now() + FINAL_ACCEPT_TIME;
+    while let Some(permit) = until(deadline, node.place(&node.descriptors.clients)).await {
         match future::poll_once(listener.accept()).await {
-            Some(Ok((stream, _))) => clients.welcome(stream, place),
+            Some(Ok((stream, _))) => clients.welcome(stream, permit),
             Some(Err(_)) | None => return,
         }
     }
