--- a/crates/driver/src/control.rs
+++ b/crates/driver/src/control.rs
@@ -55,7 +55,7 @@
         node.spawn(module.run(config.known.clone()));
         peers.into_iter().for_each(|peers| node.spawn(peers.run(handle.clone())));
         let (moves, addresses) = async_channel::unbounded();
-        node.spawn(discovery::follow(node.clone(), config.discovery, addresses, handle.clone()));
+        node.spawn(discovery::run(node.clone(), config.discovery, addresses, handle.clone()));
         node.spawn(reload(config, reloads, moves, handle.clone()));
         Ok(Control { executor, node, module: handle })
     }
--- a/crates/driver/src/discovery/follower.rs
+++ b/crates/driver/src/discovery/follower.rs
@@ -1,150 +1,152 @@
-//! What is asked of discovery and when, without I/O: the ends of calls, what a watch says, and time come in; calls to make
-//! and whether a list counts come out.
+//! Decides which calls to make to discovery and when, without I/O. Its inputs are the results of calls, the updates of the
+//! watch, and the time; its outputs are the calls to make and whether a received list is applied.
 //!
-//! Owns the version in force and the pace of calls. Never calls anybody, and decides nothing about members.
+//! Keeps the version in force and the schedule of calls. It makes no calls itself and decides nothing about members.
 //!
-//! A watch alone may fall silent, lag, or say that nothing has changed when something has. So the whole list is asked for
-//! beside it, at the latest so long after the last one came (`pace` says how long), and at once when a watch ends. The two
-//! never overtake each other: a whole list counts unless news came while it was on its way, and one that a watch has not
-//! told has the watch opened anew behind it.
+//! A watch alone is not reliable: it may fall silent, lag behind, or report no change although there was one. The full list
+//! is therefore also fetched at a regular interval ([`RESYNC`]), and at once when a watch ends. Neither source undoes a
+//! newer state of the other: a full list is discarded if the watch delivered an update while it was being fetched, and the
+//! watch is reopened from the version of a full list that the watch had not delivered.
 
 use std::time::Instant;
 
 use super::pace::{Pace, RESYNC};
 
-/// A call of discovery.
+/// State of a call to discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Call {
-    /// To be made then.
+    /// Not running; to be made at this time.
     Due(Instant),
-    /// Under way since this many news.
-    Open(u64),
+    /// Running. Holds the number of watch updates received before its start.
+    Running(u64),
 }
 
-/// What is to be done.
+/// A call to make or to abandon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Ask for the whole list.
+    /// Fetch the full list.
     AskWhole,
-    /// Watch the changes after this version.
+    /// Open a watch for the changes after this version.
     Watch(u64),
-    /// Give up the watch that is open: what it says no longer counts.
+    /// Close the open watch; anything that it still delivers is ignored.
     DropWatch,
 }
 
-/// Whether a whole list is to be put in force.
+/// Whether a received full list is to be applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It is.
+    /// It is to be applied.
     Applies,
-    /// Nothing in it is new.
+    /// It is the list in force, unchanged.
     Known,
-    /// News came while it was on its way; it is asked for again.
+    /// The watch delivered an update while it was being fetched; it is fetched again.
     Overtaken,
 }
 
-/// Follows the list at one address.
+/// Keeps the membership list in step with discovery at one address.
 #[derive(Debug)]
 pub struct Follower {
     pace: Pace,
     watch_pace: Pace,
     version: Option<u64>,
-    /// Digest of the whole list that came last.
+    /// Digest of the full list received last.
     digest: Option<u64>,
-    /// How many changes a watch told.
-    news: u64,
-    whole: Call,
+    /// Number of updates received from watches.
+    update_count: u64,
+    full_list: Call,
     watch: Call,
-    drops_watch: bool,
-    /// Whether a whole list has come since a watch ended last.
-    is_whole: bool,
+    close_watch: bool,
+    /// Whether a full list has been received since the last watch ended. Without one no watch is opened.
+    has_full_list: bool,
 }
 
 impl Follower {
-    /// Begins now; `version`: of the whole list, where this address has just given it.
+    /// Starts the schedule now. `version` is the version of the full list if this address has just delivered one.
     pub fn new(pace: Pace, version: Option<u64>, now: Instant) -> Self {
-        let whole = Call::Due(if version.is_some() { now + RESYNC } else { now });
-        let (watch, watch_pace, is_whole) = (Call::Due(now), pace, version.is_some());
+        let full_list = Call::Due(if version.is_some() { now + RESYNC } else { now });
+        let (watch, watch_pace, has_full_list) = (Call::Due(now), pace, version.is_some());
         Follower {
             pace,
             watch_pace,
             version,
             digest: None,
-            news: 0,
-            whole,
+            update_count: 0,
+            full_list,
             watch,
-            drops_watch: false,
-            is_whole,
+            close_watch: false,
+            has_full_list,
         }
     }
 
-    /// Version of the list in force.
+    /// Version of the list in force; `None` before the first list.
     pub fn version(&self) -> Option<u64> {
         self.version
     }
 
-    /// When there is something to do next, if nothing comes before.
+    /// When the next call is due, if no result arrives before that.
     pub fn due(&self) -> Option<Instant> {
-        let whole = if let Call::Due(at) = self.whole { Some(at) } else { None };
-        let watch = if let Call::Due(at) = self.watch { Some(at).filter(|_| self.is_whole) } else { None };
-        [whole, watch].into_iter().flatten().min()
+        let full_list = if let Call::Due(due) = self.full_list { Some(due) } else { None };
+        let watch =
+            if let Call::Due(due) = self.watch { Some(due).filter(|_| self.has_full_list) } else { None };
+        [full_list, watch].into_iter().flatten().min()
     }
 
-    /// What to do now, until there is nothing.
+    /// The next action to take now. To be called until it returns `None`.
     pub fn next(&mut self, now: Instant) -> Option<Action> {
-        if std::mem::take(&mut self.drops_watch) {
+        if std::mem::take(&mut self.close_watch) {
             return Some(Action::DropWatch);
         }
-        if matches!(self.whole, Call::Due(at) if at <= now) {
-            self.whole = Call::Open(self.news);
+        if matches!(self.full_list, Call::Due(due) if due <= now) {
+            self.full_list = Call::Running(self.update_count);
             return Some(Action::AskWhole);
         }
-        let from = self.version.filter(|_| self.is_whole)?;
-        if matches!(self.watch, Call::Due(at) if at <= now) {
-            self.watch = Call::Open(self.news);
+        let from = self.version.filter(|_| self.has_full_list)?;
+        if matches!(self.watch, Call::Due(due) if due <= now) {
+            self.watch = Call::Running(self.update_count);
             return Some(Action::Watch(from));
         }
         None
     }
 
-    /// The whole list came.
+    /// Records a received full list, and returns whether to apply it.
     pub fn whole_came(&mut self, version: u64, digest: u64, now: Instant) -> Verdict {
-        let began = if let Call::Open(news) = self.whole { news } else { self.news };
+        let started_at_count =
+            if let Call::Running(update_count) = self.full_list { update_count } else { self.update_count };
         self.pace.answered();
-        if began != self.news && self.version.is_some_and(|known| version < known) {
-            self.whole = Call::Due(now);
+        if started_at_count != self.update_count && self.version.is_some_and(|known| version < known) {
+            self.full_list = Call::Due(now);
             return Verdict::Overtaken;
         }
-        (self.whole, self.is_whole) = (Call::Due(now + RESYNC), true);
-        let behind = self.version != Some(version);
-        if !behind && self.digest == Some(digest) {
+        (self.full_list, self.has_full_list) = (Call::Due(now + RESYNC), true);
+        let version_changed = self.version != Some(version);
+        if !version_changed && self.digest == Some(digest) {
             return Verdict::Known;
         }
-        if let (true, Call::Open(_)) = (behind, self.watch) {
-            (self.drops_watch, self.watch) = (true, Call::Due(now));
+        if let (true, Call::Running(_)) = (version_changed, self.watch) {
+            (self.close_watch, self.watch) = (true, Call::Due(now));
         }
         (self.version, self.digest) = (Some(version), Some(digest));
         Verdict::Applies
     }
 
-    /// A call of the whole list brought nothing.
+    /// Records that a call for the full list failed; it is repeated after a pause.
     pub fn whole_failed(&mut self, now: Instant) {
-        self.whole = Call::Due(now + self.pace.pause());
+        self.full_list = Call::Due(now + self.pace.pause());
     }
 
-    /// The watch that is open told a change, which counts.
+    /// Records an update from the open watch. It is always applied.
     pub fn changed(&mut self, version: u64) {
-        (self.version, self.news) = (Some(version), self.news + 1);
+        (self.version, self.update_count) = (Some(version), self.update_count + 1);
         self.watch_pace.answered();
     }
 
-    /// The watch ended, or could not be opened. Changes may have been missed, and another one may fall silent too: the
-    /// whole list tells, and comes at once or not at all.
+    /// Records that the watch ended or could not be opened. Updates may have been missed, and the next watch may fall
+    /// silent too, so the full list is fetched at once, unless a call for it is already running.
     pub fn watch_ended(&mut self, now: Instant) {
         self.watch = Call::Due(now + self.watch_pace.pause());
-        self.is_whole = false;
-        if let Call::Due(at) = self.whole {
-            self.whole = Call::Due(at.min(now));
+        self.has_full_list = false;
+        if let Call::Due(due) = self.full_list {
+            self.full_list = Call::Due(due.min(now));
         }
     }
 }
--- a/crates/driver/src/discovery/mod.rs
+++ b/crates/driver/src/discovery/mod.rs
@@ -1,11 +1,12 @@
-//! Discovery: the whole list now and then, and the watch from its version; a broken one is taken up again after a pause.
+//! Keeps the membership list up to date from discovery: fetches the full list at intervals, and watches for changes from its
+//! version on. A watch that breaks is reopened after a pause.
 //!
-//! Owns the calls to discovery. What it learns goes to the module whole; it decides nothing about members. What is called
-//! when, and which list counts, is decided by `follower`, without I/O.
+//! Owns the calls to discovery, and passes every list to the module's actor unchanged; it decides nothing about members.
+//! Which calls are made when, and which list is applied, is decided by [`follower`], without I/O.
 
-mod answer;
 pub mod follower;
 pub mod pace;
+mod response;
 pub mod values;
 
 use std::fmt;
@@ -28,13 +29,13 @@
 use crate::stats::Counter;
 use crate::Node;
 
-use answer::Answer;
 use follower::{Action, Follower, Verdict};
 use pace::Pace;
+use response::DiscoveryResponse;
 
-/// Why a list or a watch ended.
+/// Why a call for the full list failed or a watch ended.
 #[derive(Debug)]
-enum End {
+enum CallError {
     Io(std::io::Error),
     Silent,
     Closed,
@@ -44,51 +45,47 @@
     TooLong,
 }
 
-impl fmt::Display for End {
+impl fmt::Display for CallError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            End::Io(e) => write!(f, "{e}"),
-            End::Silent => f.write_str("nothing came for too long"),
-            End::Closed => f.write_str("the connection was closed"),
-            End::Status(status) => write!(f, "status {status}"),
-            End::Http(broken) => write!(f, "{broken}"),
-            End::Json(e) => write!(f, "a list can't be read: {e}"),
-            End::TooLong => f.write_str("a list is over its bound"),
+            CallError::Io(e) => write!(f, "{e}"),
+            CallError::Silent => f.write_str("nothing was received in time"),
+            CallError::Closed => f.write_str("discovery ended the response or closed the connection"),
+            CallError::Status(status) => write!(f, "HTTP status {status}"),
+            CallError::Http(broken) => write!(f, "{broken}"),
+            CallError::Json(e) => write!(f, "the membership list can't be parsed: {e}"),
+            CallError::TooLong => f.write_str("the membership list exceeds its size limit"),
         }
     }
 }
 
-/// Follows the list for as long as the driver runs: at this address, and later at each that `addresses` names, from
-/// the time at which that one has given its whole list. Until then the one before is still heeded.
-pub async fn follow(
-    node: Rc<Node>,
-    address: SocketAddr,
-    addresses: Receiver<SocketAddr>,
-    module: ModuleHandle,
-) {
+/// Keeps the membership list up to date for as long as the driver runs: first from `address`, later from each address that
+/// arrives on `addresses`. A new address takes over once it has delivered its full list; until then the previous one is used.
+pub async fn run(node: Rc<Node>, address: SocketAddr, addresses: Receiver<SocketAddr>, module: ModuleHandle) {
     let (mut address, mut version) = (address, None);
     loop {
-        // The first of both is looked at first: once the new list is in, the old watch says nothing any more.
-        let moved = moved(&node, &addresses);
-        let (next, listing) = future::or(moved, follow_one(&node, address, version, &module)).await;
-        info!("the list is now followed at {next}");
+        // The first future is polled first: once the new address has delivered its list, no update of the old watch counts.
+        let moved = await_new_address(&node, &addresses);
+        let (next, listing) = future::or(moved, sync_with(&node, address, version, &module)).await;
+        info!("discovery address changed: the membership list now comes from {next}");
         (address, version) = (next, Some(listing.generation));
         module.list(listing).await;
     }
 }
 
-/// The newest address that is to be followed, once it has given its whole list, with that list.
-async fn moved(node: &Rc<Node>, addresses: &Receiver<SocketAddr>) -> (SocketAddr, Listing) {
-    let named = || async {
+/// Waits until a new discovery address has delivered its full list, and returns both. If further addresses arrive
+/// meanwhile, the newest one counts.
+async fn await_new_address(node: &Rc<Node>, addresses: &Receiver<SocketAddr>) -> (SocketAddr, Listing) {
+    let next_address = || async {
         match addresses.recv().await {
             Ok(address) => address,
             Err(_) => future::pending().await,
         }
     };
-    let mut address = named().await;
+    let mut address = next_address().await;
     loop {
-        let newer = async { Err(named().await) };
-        let listing = async { Ok(whole(node, address).await) };
+        let newer = async { Err(next_address().await) };
+        let listing = async { Ok(fetch_until_received(node, address).await) };
         match future::or(newer, listing).await {
             Ok(listing) => return (address, listing),
             Err(newer) => address = newer,
@@ -96,43 +93,44 @@
     }
 }
 
-/// The whole list at an address, asked for until it is given.
-async fn whole(node: &Rc<Node>, address: SocketAddr) -> Listing {
-    let mut calls = Calls::new(node, address);
+/// Fetches the full list from an address, repeating the call until it succeeds.
+async fn fetch_until_received(node: &Rc<Node>, address: SocketAddr) -> Listing {
+    let mut calls = CallState::new(node, address);
     loop {
-        match list(node, address, calls.pace.call).await {
+        match fetch_list(node, address, calls.pace.call).await {
             Ok((listing, _)) => return listing,
-            Err(end) => {
-                calls.failed(&end);
+            Err(error) => {
+                calls.failed(&error);
                 Timer::after(calls.pace.pause()).await;
             }
         }
     }
 }
 
-/// Follows the list at one address without end.
-async fn follow_one(
+/// Keeps the list up to date from one address. Never returns; the result type is that of [`await_new_address`], which runs
+/// at the same time.
+async fn sync_with(
     node: &Rc<Node>,
     address: SocketAddr,
     version: Option<u64>,
     module: &ModuleHandle,
 ) -> (SocketAddr, Listing) {
-    let mut calls = Calls::new(node, address);
+    let mut calls = CallState::new(node, address);
     let mut follower = Follower::new(calls.pace, version, Instant::now());
-    let (mut whole, mut watch) = (None, Watch::Closed);
+    let (mut full_list, mut watch) = (None, Watch::Closed);
     loop {
         while let Some(action) = follower.next(Instant::now()) {
             match action {
-                Action::AskWhole => whole = Some(Box::pin(list(node, address, calls.pace.call))),
+                Action::AskWhole => full_list = Some(Box::pin(fetch_list(node, address, calls.pace.call))),
                 Action::Watch(from) => {
-                    watch = Watch::Opening(Box::pin(open(node, address, from, calls.pace.call)))
+                    watch = Watch::Opening(Box::pin(open_watch(node, address, from, calls.pace.call)))
                 }
                 Action::DropWatch => watch = Watch::Closed,
             }
         }
         let listing = async {
-            match &mut whole {
-                Some(call) => Came::Whole(call.as_mut().await),
+            match &mut full_list {
+                Some(call) => CallEvent::FullList(call.as_mut().await),
                 None => future::pending().await,
             }
         };
@@ -141,114 +139,130 @@
                 Some(at) => drop(Timer::at(at).await),
                 None => future::pending().await,
             }
-            Came::Time
+            CallEvent::Due
         };
-        // Losing what waits here loses no bytes.
-        match future::or(listing, future::or(watch.news(), due)).await {
-            Came::Time => {}
-            Came::Whole(Ok((listing, digest))) => {
-                whole = None;
+        // Dropping the futures that are not ready loses no bytes: what they have read stays in their buffers.
+        match future::or(listing, future::or(watch.next_event(), due)).await {
+            CallEvent::Due => {}
+            CallEvent::FullList(Ok((listing, digest))) => {
+                full_list = None;
                 calls.answered();
                 if follower.whole_came(listing.generation, digest, Instant::now()) == Verdict::Applies {
                     module.list(listing).await;
                 }
             }
-            Came::Whole(Err(end)) => {
-                whole = None;
-                calls.failed(&end);
+            CallEvent::FullList(Err(error)) => {
+                full_list = None;
+                calls.failed(&error);
                 follower.whole_failed(Instant::now());
             }
-            Came::Opened(answer) => watch = Watch::Open(answer),
-            Came::News(None) => calls.answered(),
-            Came::News(Some(listing)) => {
+            CallEvent::Opened(response) => watch = Watch::Open(response),
+            CallEvent::Update(None) => calls.answered(),
+            CallEvent::Update(Some(listing)) => {
                 calls.answered();
                 follower.changed(listing.generation);
                 module.list(listing).await;
             }
-            Came::Ended(end) => {
+            CallEvent::Ended(error) => {
                 watch = Watch::Closed;
-                calls.failed(&end);
+                calls.failed(&error);
                 follower.watch_ended(Instant::now());
             }
         }
     }
 }
 
-/// What came of the calls that are open.
-enum Came {
-    Whole(Result<(Listing, u64), End>),
-    Opened(Box<Answer>),
-    News(Option<Listing>),
-    Ended(End),
-    Time,
+/// An event that the loop of [`sync_with`] waits for.
+enum CallEvent {
+    FullList(Result<(Listing, u64), CallError>),
+    Opened(Box<DiscoveryResponse>),
+    Update(Option<Listing>),
+    Ended(CallError),
+    Due,
 }
 
-/// The call that watches.
+/// State of the watch.
 enum Watch<F> {
     Closed,
     Opening(Pin<Box<F>>),
-    Open(Box<Answer>),
+    Open(Box<DiscoveryResponse>),
 }
 
-impl<F: Future<Output = Result<Answer, End>>> Watch<F> {
-    async fn news(&mut self) -> Came {
+impl<F: Future<Output = Result<DiscoveryResponse, CallError>>> Watch<F> {
+    /// Waits until the watch is open, or for its next message, or for its end.
+    async fn next_event(&mut self) -> CallEvent {
         match self {
             Watch::Closed => future::pending().await,
             Watch::Opening(call) => match call.as_mut().await {
-                Ok(answer) => Came::Opened(Box::new(answer)),
-                Err(end) => Came::Ended(end),
+                Ok(response) => CallEvent::Opened(Box::new(response)),
+                Err(error) => CallEvent::Ended(error),
             },
-            Watch::Open(answer) => match answer.news().await {
-                Ok(news) => Came::News(news),
-                Err(end) => Came::Ended(end),
+            Watch::Open(response) => match response.next_update().await {
+                Ok(update) => CallEvent::Update(update),
+                Err(error) => CallEvent::Ended(error),
             },
         }
     }
 }
 
-/// Fetches the whole list, with a digest of its text.
-async fn list(node: &Rc<Node>, address: SocketAddr, call: Duration) -> Result<(Listing, u64), End> {
-    let answer = Answer::open(node, address, "/v1/endpoints", call).await?;
+/// Fetches the full list, and returns it with a digest of its text.
+async fn fetch_list(
+    node: &Rc<Node>,
+    address: SocketAddr,
+    call_timeout: Duration,
+) -> Result<(Listing, u64), CallError> {
+    let response = DiscoveryResponse::open(node, address, "/v1/endpoints", call_timeout).await?;
     node.stats.count(Counter::Watches);
-    let text = answer.whole().await?;
+    let text = response.read_body().await?;
     let mut digest = DefaultHasher::new();
     text.hash(&mut digest);
-    let listing = node.meter.measure(Work::List, || serde_json::from_slice(&text)).map_err(End::Json)?;
+    let listing =
+        node.meter.measure(Work::List, || serde_json::from_slice(&text)).map_err(CallError::Json)?;
     Ok((listing, digest.finish()))
 }
 
-/// Opens a watch of the changes after a version.
-async fn open(node: &Rc<Node>, address: SocketAddr, from: u64, call: Duration) -> Result<Answer, End> {
-    let answer = Answer::open(node, address, &format!("/v1/endpoints?watch=1&from={from}"), call).await?;
+/// Opens a watch for the changes after a version.
+async fn open_watch(
+    node: &Rc<Node>,
+    address: SocketAddr,
+    from: u64,
+    call_timeout: Duration,
+) -> Result<DiscoveryResponse, CallError> {
+    let response =
+        DiscoveryResponse::open(node, address, &format!("/v1/endpoints?watch=1&from={from}"), call_timeout)
+            .await?;
     node.stats.count(Counter::Watches);
-    Ok(answer)
+    Ok(response)
 }
 
-/// The calls of one address: their pace, and whether it answers.
-struct Calls<'n> {
+/// Time limits of the calls to one address, and whether its failure has been logged.
+struct CallState<'n> {
     node: &'n Rc<Node>,
     address: SocketAddr,
     pace: Pace,
-    down: bool,
+    is_down: bool,
 }
 
-impl<'n> Calls<'n> {
+impl<'n> CallState<'n> {
     fn new(node: &'n Rc<Node>, address: SocketAddr) -> Self {
-        Calls { node, address, pace: Pace::within(node.site.dialect.drain_grace), down: false }
+        CallState { node, address, pace: Pace::within(node.site.dialect.drain_grace), is_down: false }
     }
 
-    /// It told something that can be read.
+    /// Records that discovery sent something that can be parsed.
     fn answered(&mut self) {
-        if std::mem::take(&mut self.down) {
-            info!("discovery at {} is back", self.address);
+        if std::mem::take(&mut self.is_down) {
+            info!("discovery at {} is back: it answers calls again", self.address);
         }
     }
 
-    /// A call ended without that.
-    fn failed(&mut self, end: &End) {
+    /// Records a failed call. Only the first failure in a row is logged.
+    fn failed(&mut self, error: &CallError) {
         self.node.stats.count(Counter::CallsFailed);
-        if !std::mem::replace(&mut self.down, true) {
-            warn!("discovery at {} is lost: {end}", self.address);
+        if !std::mem::replace(&mut self.is_down, true) {
+            warn!(
+                "discovery at {} is lost, the last known list stays in use and calls are repeated: {error}",
+                self.address
+            );
         }
     }
 }
--- a/crates/driver/src/discovery/pace.rs
+++ b/crates/driver/src/discovery/pace.rs
@@ -1,66 +1,73 @@
-//! How long calls of discovery may take and how long the pauses between them are: pure.
+//! Time limits of calls to discovery, and the pauses between them. Pure calculation, without I/O.
 //!
-//! What discovery holds counts as told from its return on, and a silent watch as broken: a drain binds although nobody has
-//! delivered it. So from any such moment to the list, with one call that came too early and the pause after it, less has
-//! to pass than the settings leave between hearing of a drain and heeding it.
+//! A router is taken to know what discovery holds as soon as discovery can be reached again after an outage, and a silent
+//! watch counts as broken: a drain takes effect even if no message has delivered it. From any such moment, the list must
+//! therefore arrive within the time that the settings allow between learning of a drain and obeying it, even if one call
+//! came too early and was followed by a pause.
 //!
-//! Whatever became of watches and calls, a change that discovery has and that could be had is in force within
-//! `call + RESYNC + call + f x (call + longest pause)`, where f calls in a row fail: the first call is one that began just
-//! before the change. A call is bounded from its connect to the last byte of its body, and waits for no descriptor.
+//! Whatever happens to watches and calls, a change that discovery holds is in force within
+//! `call + RESYNC + call + f x (call + longest pause)` of the time at which it can be fetched, where f is the number of
+//! consecutive calls that fail. The first `call` stands for a call that began just before the change. The limit of a call
+//! covers everything from the connect to the last byte of the body, and a call never waits for a descriptor.
 
 use std::time::Duration;
 
 use beaconshore::interface::Micros;
 
-/// A watch says something at least every 2 s; one that was silent for so long is broken. What it misses counts as told 6 s
-/// after it fell silent: that leaves time for calls of the whole list that stay silent too.
+/// A watch that has sent nothing for this long is broken: discovery sends a message at least every 2 s. The router is taken
+/// to know a change 6 s after its watch fell silent, which leaves time for several calls for the full list that get no
+/// answer either.
 pub const SILENCE: Duration = Duration::from_millis(2_500);
 
-/// The whole list is asked for so long after it came last, whatever a watch says meanwhile.
+/// The full list is fetched again this long after it was last received, whatever the watch has delivered meanwhile.
 pub const RESYNC: Duration = Duration::from_secs(2);
 
-/// Bounds on a call: discovery is an agent on the driver's own machine, which answers at once.
-const SHORTEST_CALL: Duration = Duration::from_millis(100);
-const LONGEST_CALL: Duration = Duration::from_millis(500);
-/// Bounds on the longest pause.
-const SHORTEST_PAUSE: Duration = Duration::from_millis(20);
-const LONGEST_PAUSE: Duration = Duration::from_millis(250);
-/// Where the settings name no time for drains.
-const USUAL_GRACE: Micros = 500_000;
+/// Shortest time limit of a call. Discovery is an agent on the driver's own machine and answers at once.
+const MIN_CALL_TIMEOUT: Duration = Duration::from_millis(100);
+/// Longest time limit of a call.
+const MAX_CALL_TIMEOUT: Duration = Duration::from_millis(500);
+/// Least value of the longest pause between failed calls.
+const MIN_LONGEST_PAUSE: Duration = Duration::from_millis(20);
+/// Greatest value of the longest pause between failed calls.
+const MAX_LONGEST_PAUSE: Duration = Duration::from_millis(250);
+/// Time for obeying a drain where the settings name none, in microseconds.
+const DEFAULT_GRACE: Micros = 500_000;
 
-/// The pace of calls to one address.
+/// Time limit of calls to one address, and the backoff between calls that fail.
 #[derive(Clone, Copy, Debug)]
 pub struct Pace {
-    /// A call that has no answer by then is given up.
+    /// Time limit of a call, after which it is abandoned.
     pub call: Duration,
-    longest: Duration,
-    next: Duration,
+    /// Upper bound on the pause between calls.
+    max_pause: Duration,
+    /// The pause after the next failure.
+    next_pause: Duration,
 }
 
 impl Pace {
-    /// The pace where a drain has to be heeded within this time of hearing of it (0: not told): half of it for a call, a
-    /// quarter for a pause, and the rest to read the list and act on it.
+    /// Derives the limits from the time within which a drain must be obeyed after the router has learned of it (0: not
+    /// stated). Half of it is for a call, a quarter for a pause, and the rest for reading the list and acting on it.
     pub fn within(grace: Micros) -> Self {
-        let grace = Duration::from_micros(if grace == 0 { USUAL_GRACE } else { grace });
-        let call = (grace / 2).clamp(SHORTEST_CALL, LONGEST_CALL);
-        let longest = (grace / 4).clamp(SHORTEST_PAUSE, LONGEST_PAUSE);
-        Pace { call, longest, next: longest / 4 }
+        let grace = Duration::from_micros(if grace == 0 { DEFAULT_GRACE } else { grace });
+        let call = (grace / 2).clamp(MIN_CALL_TIMEOUT, MAX_CALL_TIMEOUT);
+        let max_pause = (grace / 4).clamp(MIN_LONGEST_PAUSE, MAX_LONGEST_PAUSE);
+        Pace { call, max_pause, next_pause: max_pause / 4 }
     }
 
-    /// The pause after a call that failed: twice as long each time, up to the longest.
+    /// Returns the pause after a failed call. It doubles with each failure, up to the longest pause.
     pub fn pause(&mut self) -> Duration {
-        let pause = self.next;
-        self.next = (self.next * 2).min(self.longest);
+        let pause = self.next_pause;
+        self.next_pause = (self.next_pause * 2).min(self.max_pause);
         pause
     }
 
-    /// How long the change of a list takes at the most to be in force, with so many calls in a row that fail.
-    pub fn in_force_within(&self, failing: u32) -> Duration {
-        2 * self.call + RESYNC + failing * (self.call + self.longest)
+    /// Longest time until a change of the list is in force, if this many consecutive calls fail.
+    pub fn in_force_within(&self, failed_calls: u32) -> Duration {
+        2 * self.call + RESYNC + failed_calls * (self.call + self.max_pause)
     }
 
-    /// A list came: the next failure is the first one again.
+    /// Resets the pause after a list was received.
     pub fn answered(&mut self) {
-        self.next = self.longest / 4;
+        self.next_pause = self.max_pause / 4;
     }
 }
