--- a/crates/driver/src/peers/mod.rs
+++ b/crates/driver/src/peers/mod.rs
@@ -1,7 +1,7 @@
-//! Messages between drivers: the actor that owns their socket.
+//! The actor that sends and receives the messages between drivers, and owns their UDP socket.
 //!
-//! Without a policy for gossip each message goes to all others at once; with one, what is learnt of members is spread by
-//! `beaconshore_gossip` within its budget of bytes. What does not read as a message, or comes from no peer, is dropped.
+//! Without a gossip policy each message is sent to all other drivers at once. With one, states of members are spread by
+//! `beaconshore_gossip` within its byte budget. Datagrams that are malformed or do not come from a known peer are dropped.
 
 pub mod message;
 
@@ -26,51 +26,54 @@
 use message::MAX_DATAGRAM;
 pub use message::{tag, Outgoing, PeerMessage};
 
-/// Messages that may wait to be sent; further ones are dropped, as datagrams may be.
-const MAILBOX: usize = 16;
-/// Pause after all that had come was read. Hundreds of drivers each tell little: read one by one as they come, their datagrams
-/// would wake the process a thousand times a second. What they tell gets older by this much at most, against bounds
-/// of a tenth of a second and more.
-const GATHER: Duration = Duration::from_millis(10);
-/// Pause after an error of the socket.
+/// Number of messages that may wait to be sent. Further ones are dropped, which is allowed since datagrams may be lost
+/// anyway.
+const MAILBOX_CAPACITY: usize = 16;
+/// Pause after all received datagrams were read. Hundreds of drivers send little each; if their datagrams were read as they
+/// arrive, they would wake the process a thousand times a second. The pause delays them by at most this much, which is
+/// small against staleness bounds of a tenth of a second and more.
+const READ_PAUSE: Duration = Duration::from_millis(10);
+/// Pause after a receive error of the socket.
 const ERROR_PAUSE: Duration = Duration::from_millis(20);
-/// Datagrams read between two looks at other work.
-const ROUND: usize = 16;
+/// Number of datagrams read in a row before other actors get their turn.
+const MAX_READS_IN_A_ROW: usize = 16;
 
-/// The actor of all peers.
+/// The actor that exchanges messages with all peers.
 pub struct Peers {
     node: Rc<Node>,
     socket: Async<UdpSocket>,
-    own: Option<SocketAddr>,
-    /// All of them, by number.
+    /// The address of this driver.
+    own_address: Option<SocketAddr>,
+    /// The addresses of all drivers, by number.
     addresses: Vec<SocketAddr>,
     numbers: HashMap<SocketAddr, u32>,
+    /// The addresses of all drivers but this one.
     others: Vec<SocketAddr>,
-    /// An address that reaches all of them.
-    all: Option<SocketAddr>,
+    /// One address that reaches all drivers, if there is one.
+    broadcast: Option<SocketAddr>,
     gossip: Option<RefCell<Gossip>>,
     sender: Sender<Outgoing>,
     mailbox: Receiver<Outgoing>,
 }
 
-/// The actor, not yet running.
+/// Creates the actor. It does nothing until [`Peers::run`].
 pub fn start(node: &Rc<Node>, socket: Async<UdpSocket>, config: &Config) -> Peers {
-    let (sender, mailbox) = async_channel::bounded(MAILBOX);
-    let own = config.peer_listen;
+    let (sender, mailbox) = async_channel::bounded(MAILBOX_CAPACITY);
+    let own_address = config.peer_listen;
     let addresses = config.peers.clone();
     let own_number =
-        addresses.iter().position(|&peer| Some(peer) == own).map(|number| PeerNumber(number as u32));
-    let count = addresses.len() as u32;
+        addresses.iter().position(|&peer| Some(peer) == own_address).map(|number| PeerNumber(number as u32));
+    let driver_count = addresses.len() as u32;
     let now = node.clock.now();
-    let gossip = config.gossip.map(|policy| Gossip::new(policy, own_number, count, config.seed, now));
+    let gossip = config.gossip.map(|policy| Gossip::new(policy, own_number, driver_count, config.seed, now));
     Peers {
         node: node.clone(),
         socket,
-        own,
+        own_address,
         numbers: addresses.iter().copied().zip(0..).collect(),
-        others: addresses.iter().copied().filter(|&peer| Some(peer) != own).collect(),
+        others: addresses.iter().copied().filter(|&peer| Some(peer) != own_address).collect(),
         addresses,
-        all: config.peers_all,
+        broadcast: config.peers_all,
         gossip: gossip.map(RefCell::new),
         sender,
         mailbox,
@@ -78,16 +81,17 @@
 }
 
 impl Peers {
-    /// The way to its mailbox.
+    /// The sender for messages that the actor is to send.
     pub fn mailbox(&self) -> Sender<Outgoing> {
         self.sender.clone()
     }
 
-    /// Sends and receives.
+    /// Sends and receives messages until the driver ends.
     pub async fn run(self, module: ModuleHandle) {
-        future::or(self.send(), future::or(self.receive(module), self.spread())).await;
+        future::or(self.send(), future::or(self.receive(module), self.run_gossip())).await;
     }
 
+    /// Handles the messages of the mailbox. Member states go to the gossip, if there is a policy.
     async fn send(&self) {
         while let Ok(outgoing) = self.mailbox.recv().await {
             match (&self.gossip, outgoing.message) {
@@ -103,12 +107,14 @@
         }
     }
 
-    /// Sends a message to one driver, or to all others.
+    /// Sends a message to one driver, or to all others if `to` is `None` or not a known number.
     async fn send_message(&self, to: Option<u32>, message: &PeerMessage) {
-        let all = self.all.as_ref().map_or(&self.others[..], std::slice::from_ref);
+        let all = self.broadcast.as_ref().map_or(&self.others[..], std::slice::from_ref);
         let one = to.and_then(|number| self.addresses.get(number as usize));
         for datagram in self.node.meter.measure(Work::PeerMessages, || message.encode()) {
-            self.node.stats.check(datagram.len() <= MAX_DATAGRAM, "a datagram keeps its bound");
+            self.node
+                .stats
+                .check(datagram.len() <= MAX_DATAGRAM, "a datagram is no longer than MAX_DATAGRAM");
             for &peer in one.map_or(all, std::slice::from_ref) {
                 self.send_datagram(&datagram, peer).await;
             }
@@ -118,23 +124,23 @@
     async fn send_datagram(&self, datagram: &[u8], to: SocketAddr) {
         self.node.stats.count(Counter::Told);
         self.node.stats.add(Counter::PeerBytesSent, datagram.len());
-        let at_once =
+        let sent =
             self.node.meter.measure(Work::PeerMessages, || self.socket.get_ref().send_to(datagram, to));
-        if at_once.is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock) {
-            // Datagrams may be lost.
+        if sent.is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock) {
+            // An error is ignored, since datagrams may be lost.
             let _ = self.socket.send_to(datagram, to).await;
         }
     }
 
-    /// Sends what each round of gossip has to say.
-    async fn spread(&self) {
+    /// Runs the rounds of gossip and sends their messages. Waits forever without a gossip policy.
+    async fn run_gossip(&self) {
         let Some(gossip) = &self.gossip else { return future::pending().await };
         loop {
             let due = gossip.borrow().due();
             Timer::at(self.node.clock.instant(due)).await;
             let now = self.node.clock.now();
-            let sends = self.node.meter.measure(Work::PeerMessages, || gossip.borrow_mut().round(now));
-            for Send { to, message } in sends {
+            let messages = self.node.meter.measure(Work::PeerMessages, || gossip.borrow_mut().round(now));
+            for Send { to, message } in messages {
                 let message = match message {
                     Message::States(states) => PeerMessage::MemberStates(states),
                     Message::Digest(digest) => PeerMessage::Digest(digest),
@@ -144,54 +150,56 @@
         }
     }
 
-    /// Takes all that has come, then leaves the socket alone for a moment.
+    /// Reads all received datagrams, then pauses for [`READ_PAUSE`], over and over.
     async fn receive(&self, module: ModuleHandle) {
         let mut bytes = [0; MAX_DATAGRAM + 1];
         loop {
-            // An error tells of an earlier datagram that reached no one.
+            // An error here concerns an earlier datagram that could not be delivered.
             let Ok((length, from)) = self.socket.recv_from(&mut bytes).await else {
                 Timer::after(ERROR_PAUSE).await;
                 continue;
             };
-            self.take(&bytes[..length], from, &module);
-            // A flood of them is not to hold up the rest.
-            for taken in 1.. {
+            self.handle_datagram(&bytes[..length], from, &module);
+            // Yields at intervals, so that a flood of datagrams does not starve other actors.
+            for read_count in 1.. {
                 let meter = &self.node.meter;
-                let more = meter.measure(Work::PeerMessages, || self.socket.get_ref().recv_from(&mut bytes));
-                let Ok((length, from)) = more else { break };
-                self.take(&bytes[..length], from, &module);
-                if taken % ROUND == 0 {
+                let received =
+                    meter.measure(Work::PeerMessages, || self.socket.get_ref().recv_from(&mut bytes));
+                let Ok((length, from)) = received else { break };
+                self.handle_datagram(&bytes[..length], from, &module);
+                if read_count % MAX_READS_IN_A_ROW == 0 {
                     future::yield_now().await;
                 }
             }
-            Timer::after(GATHER).await;
+            Timer::after(READ_PAUSE).await;
         }
     }
 
-    fn take(&self, bytes: &[u8], from: SocketAddr, module: &ModuleHandle) {
-        if Some(from) == self.own {
+    /// Handles one received datagram, and counts it as received or dropped.
+    fn handle_datagram(&self, bytes: &[u8], from: SocketAddr, module: &ModuleHandle) {
+        if Some(from) == self.own_address {
             return;
         }
         self.node.stats.add(Counter::PeerBytesReceived, bytes.len());
-        let taken = self.node.meter.measure(Work::PeerMessages, || {
+        let accepted = self.node.meter.measure(Work::PeerMessages, || {
             let number = self.numbers.get(&from)?;
             self.accept(*number, PeerMessage::decode(bytes)?, module)
         });
-        self.node.stats.count(if taken.is_some() { Counter::Heard } else { Counter::Dropped });
+        self.node.stats.count(if accepted.is_some() { Counter::Heard } else { Counter::Dropped });
     }
 
-    /// Takes a message in; none if it finds no room.
+    /// Passes a message to the gossip or to the module's actor; `None` if it is dropped.
     fn accept(&self, from: u32, message: PeerMessage, module: &ModuleHandle) -> Option<()> {
         let message = match (message, &self.gossip) {
             (PeerMessage::Digest(digest), Some(gossip)) => {
                 gossip.borrow_mut().on_digest(PeerNumber(from), &digest);
                 return Some(());
             }
-            // Sent by a driver that spreads by gossip where this one does not: it has nothing to compare.
+            // The sender uses gossip and this driver does not, so there is nothing to compare the digest with.
             (PeerMessage::Digest(_), None) => return None,
             (PeerMessage::MemberStates(states), Some(gossip)) => {
-                let news = gossip.borrow_mut().on_states(&states, self.node.clock.now());
-                PeerMessage::MemberStates(news)
+                let changed = gossip.borrow_mut().on_states(&states, self.node.clock.now());
+                PeerMessage::MemberStates(changed)
             }
             (message, _) => message,
         };
