--- a/crates/driver/src/control.rs
+++ b/crates/driver/src/control.rs
@@ -1,7 +1,7 @@
-//! The control plane of one driver: its membership list, the decision module, messages to other drivers, timers. Clients
-//! and servers are reached by what its user adds: sockets in the program, statistical traffic in a scale run.
+//! The control plane of one driver: its membership list, the decision module, messages to other drivers, and timers. Clients
+//! and members are connected by the caller: over sockets in the program, through simulated traffic in a scale run.
 //!
-//! Owns the executor on which all its actors run; dropping it ends every one of them.
+//! Owns the executor on which all actors run. Dropping the control plane ends every actor.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::rc::Rc;
@@ -17,9 +17,9 @@
 use crate::module::{Module, ModuleHandle};
 use crate::{discovery, peers, reload, Node};
 
-/// How a driver reaches the members on its list.
+/// Connects a driver to the members on its list.
 pub trait MemberTransport {
-    /// Starts what carries attempts and probes to one member; this is the way to its mailbox.
+    /// Starts the actor that carries attempts and probes to one member, and returns the sender of its mailbox.
     fn start(
         &self,
         node: &Rc<Node>,
@@ -29,7 +29,7 @@
     ) -> Sender<MemberMail>;
 }
 
-/// The control plane of a driver, running once its executor is.
+/// The control plane of a driver. Its actors run while its executor is being run.
 pub struct Control {
     executor: Rc<LocalExecutor<'static>>,
     node: Rc<Node>,
@@ -37,16 +37,16 @@
 }
 
 impl Control {
-    /// Starts all its actors. An error names what could not be opened.
+    /// Creates all actors. Returns an error if the socket for peers cannot be opened.
     pub fn start(
         config: Config,
         transport: Rc<dyn MemberTransport>,
         reloads: impl Stream<Item = Config> + 'static,
     ) -> Result<Control, String> {
-        let bound = |e: std::io::Error| format!("listening for peers: {e}");
+        let bind_error = |e: std::io::Error| format!("listening for peers: {e}");
         let peer_address = config.peer_listen.filter(|_| config.settings.settings.limits.peer_messages);
-        let socket = peer_address.map(UdpSocket::bind).transpose().map_err(bound)?;
-        let socket = socket.map(Async::new).transpose().map_err(bound)?;
+        let socket = peer_address.map(UdpSocket::bind).transpose().map_err(bind_error)?;
+        let socket = socket.map(Async::new).transpose().map_err(bind_error)?;
 
         let executor = Rc::new(LocalExecutor::new());
         let node = Rc::new(Node::new(&config, Rc::downgrade(&executor)));
@@ -54,23 +54,23 @@
         let (module, handle) = Module::new(node.clone(), &config, peers.as_ref(), transport);
         node.spawn(module.run(config.known.clone()));
         peers.into_iter().for_each(|peers| node.spawn(peers.run(handle.clone())));
-        let (moves, addresses) = async_channel::unbounded();
+        let (discovery_addresses, addresses) = async_channel::unbounded();
         node.spawn(discovery::run(node.clone(), config.discovery, addresses, handle.clone()));
-        node.spawn(reload(config, reloads, moves, handle.clone()));
+        node.spawn(reload(config, reloads, discovery_addresses, handle.clone()));
         Ok(Control { executor, node, module: handle })
     }
 
-    /// Where its actors run.
+    /// The executor on which the actors run.
     pub fn executor(&self) -> Rc<LocalExecutor<'static>> {
         self.executor.clone()
     }
 
-    /// What its actors have in common.
+    /// The state that the actors share.
     pub fn node(&self) -> &Rc<Node> {
         &self.node
     }
 
-    /// The way to its decision module.
+    /// The handle of the actor of the decision module.
     pub fn module(&self) -> &ModuleHandle {
         &self.module
     }
--- a/crates/driver/src/lib.rs
+++ b/crates/driver/src/lib.rs
@@ -1,9 +1,11 @@
-//! A router for replicated stores on sockets: clients and members speak PostgreSQL's protocol, discovery
-//! HTTP, other drivers datagrams. All that is decided is decided by `beaconshore::Router`.
+//! The driver: a router for replicated stores as a network service. Clients and members are connected over PostgreSQL's
+//! protocol, discovery over HTTP, and other drivers over UDP datagrams. All routing decisions are made by
+//! `beaconshore::Router`.
 //!
-//! Everything runs on one thread, as actors that share nothing but their mailboxes, the counters and the
-//! places for descriptors: one for each client's connection, for each member, for the list, for the peers, and
-//! for the module, which alone sees a request's whole life.
+//! Everything runs on one thread, as actors that communicate through mailboxes and share little besides: the counters, the
+//! limits on descriptors and memory, and the clocks (see [`Node`]). There is one actor for each client connection, one for
+//! each member, one for the membership list, one for the peers, and one for the decision module, the only one that follows a
+//! request from its arrival to its answer.
 
 pub mod budget;
 pub mod buffer;
@@ -57,12 +59,12 @@
 use stall::StallDetector;
 use stats::{Counter, Stats};
 
-/// Connections that may wait to be accepted; the system may hold fewer.
-const BACKLOG: i32 = 4096;
+/// Number of connections that may be queued to be accepted. The system may limit it further.
+const LISTEN_BACKLOG: i32 = 4096;
 
-/// What all actors of one driver have in common.
+/// State shared by all actors of one driver.
 pub struct Node {
-    /// Owned by the control plane: its end is theirs.
+    /// Owned by the control plane: when that is dropped, all actors end.
     executor: Weak<LocalExecutor<'static>>,
     clock: Clock,
     site: Site,
@@ -74,15 +76,16 @@
     meter: Meter,
     stalls: StallDetector,
     requests: Cell<u64>,
-    /// Lists and changes that the module took in: who acts on a decision can tell whether it is older than one.
+    /// Number of lists and updates that the module has taken in. A member's actor compares it to see whether a decision was
+    /// made before the latest one.
     lists: Cell<u64>,
 }
 
 impl Node {
-    /// Waits for a place for a connection.
+    /// Waits for a permit to open or accept a connection, and counts if none is available at once.
     async fn place(&self, places: &Places) -> Permit {
         match places.try_take() {
-            Some(place) => place,
+            Some(permit) => permit,
             None => {
                 self.stats.count(Counter::Short);
                 places.take().await
@@ -90,12 +93,12 @@
         }
     }
 
-    /// Starts an actor that ends by itself, or with the driver.
+    /// Starts an actor, which runs until it returns or the driver ends.
     pub fn spawn(&self, actor: impl Future<Output = ()> + 'static) {
         self.start(actor).into_iter().for_each(Task::detach);
     }
 
-    /// Starts a task; none while the driver is being dropped.
+    /// Starts a task that can be cancelled; `None` while the driver is being dropped.
     fn start(&self, task: impl Future<Output = ()> + 'static) -> Option<Task<()>> {
         self.executor.upgrade().map(|executor| executor.spawn(task))
     }
@@ -117,35 +120,42 @@
         }
     }
 
-    /// The present, on this driver's clock.
+    /// The current time of this driver's clock.
     pub fn now(&self) -> Micros {
         self.clock.now()
     }
 
-    /// Its counters.
+    /// The counters of this driver.
     pub fn stats(&self) -> &Stats {
         &self.stats
     }
 
-    /// Its processor time by kind of work.
+    /// The processor time of this driver by kind of work.
     pub fn meter(&self) -> &Meter {
         &self.meter
     }
 }
 
-/// Serves until `stop` is ready and all that was taken is answered. Each configuration that `reloads` yields takes
-/// the place of the one before, as far as that needs no new start.
+/// Serves until `stop` completes and every accepted request is answered. Each configuration that `reloads` yields replaces
+/// the previous one, except for the parts that only a restart can change. Returns an error if an address cannot be bound.
 pub fn run(
     config: Config,
     stop: impl Future<Output = ()> + 'static,
     reloads: impl Stream<Item = Config> + 'static,
 ) -> Result<(), String> {
-    let bound = |what: &'static str| move |e: std::io::Error| format!("{what}: {e}");
-    let listener = TcpListener::bind(config.listen).map_err(bound("listening for clients"))?;
-    // Clients that come by the hundred are not to keep out others: one that finds no room tries again after a second.
-    rustix::net::listen(&listener, BACKLOG).map_err(|e| bound("listening for clients")(e.into()))?;
-    let listener = Async::new(listener).map_err(bound("listening for clients"))?;
-    info!("{} listens at {}, {} members known", config.name, config.listen, config.known.instances.len());
+    let bind_error = |what: &'static str| move |e: std::io::Error| format!("{what}: {e}");
+    let listener = TcpListener::bind(config.listen).map_err(bind_error("listening for clients"))?;
+    // The default backlog would overflow when hundreds of clients connect at once; a client whose connection attempt is
+    // dropped retries only after a second.
+    rustix::net::listen(&listener, LISTEN_BACKLOG)
+        .map_err(|e| bind_error("listening for clients")(e.into()))?;
+    let listener = Async::new(listener).map_err(bind_error("listening for clients"))?;
+    info!(
+        "{} listens at {}; the last known list has {} members",
+        config.name,
+        config.listen,
+        config.known.instances.len()
+    );
 
     let control = Control::start(config, Rc::new(SocketTransport), reloads)?;
     let (node, handle) = (control.node().clone(), control.module().clone());
@@ -162,30 +172,29 @@
     Ok(())
 }
 
-/// Applies new configurations: the address of discovery, at which the list is fetched anew. What else has changed
-/// is named as needing a new start.
+/// Applies new configurations: a new address of discovery, and new routes. Other changes are logged as needing a restart.
 async fn reload(
     mut config: Config,
     reloads: impl Stream<Item = Config>,
-    moves: Sender<SocketAddr>,
+    discovery_addresses: Sender<SocketAddr>,
     module: ModuleHandle,
 ) {
     let mut reloads = pin!(reloads);
     while let Some(new) = reloads.next().await {
-        info!("configuration read again, discovery at {}", new.discovery);
+        info!("configuration reloaded, discovery at {}", new.discovery);
         let changes = config.needs_restart(&new);
         if !changes.is_empty() {
-            warn!("only a new start changes: {}", changes.join(", "));
+            warn!("only a new start changes: {}; restart the driver to apply them", changes.join(", "));
         }
         if new.discovery != config.discovery {
             config.discovery = new.discovery;
-            let _ = moves.send(new.discovery).await;
+            let _ = discovery_addresses.send(new.discovery).await;
         }
         if let Some(reason) = &new.refused {
-            warn!("{reason}; the one in force stays");
+            warn!("{reason}; the one in force stays until a valid file is loaded");
         } else if new.plans.routes != config.plans.routes {
             let count = new.plans.routes.as_ref().map_or(0, |r| r.routes.len());
-            info!("routes read again: {count} of them; requests that were taken go on by the old ones");
+            info!("routes read again: {count} of them; requests already accepted keep their routes");
             config.plans = Plans { zones: config.plans.zones, ..new.plans.clone() };
             module.send(Mail::Routes(new.plans.routes));
         }
--- a/crates/driver/src/main.rs
+++ b/crates/driver/src/main.rs
@@ -1,4 +1,4 @@
-//! The driver as a program: see the library for what it does.
+//! The program `beaconshore`: parses the command line, and serves or runs a command on operator's files.
 
 use std::process::ExitCode;
 
@@ -14,10 +14,10 @@
     }
     env_logger::Builder::from_env(Env::default().default_filter_or("info")).init();
     signals::end_with_parent();
-    // Before all else: a signal that is not caught ends the process.
+    // The handlers are installed before anything else, since a signal without a handler kills the process.
     let (stop, reloads) = (signals::stop(), signals::reloads());
-    let done = Config::from_env().and_then(|config| run(config, stop, reloads));
-    done.map_or_else(
+    let result = Config::from_env().and_then(|config| run(config, stop, reloads));
+    result.map_or_else(
         |message| {
             eprintln!("beaconshore: {message}");
             ExitCode::from(2)
--- a/crates/driver/src/skew.rs
+++ b/crates/driver/src/skew.rs
@@ -1,59 +1,63 @@
-//! How far this machine's clock is from the members'. All are meant to read one clock; where this one was set wrong,
-//! every replica would look too old, or, worse, fresher than it is.
+//! Estimates the difference between this machine's clock and the clocks of the members. All machines are meant to have
+//! synchronized clocks. If this one is set wrong, every replica looks too stale or, worse, fresher than it is.
 //!
-//! A primary tells the present with each answer. What lies between that and its arrival is the difference of the
-//! clocks and the way, which is never negative: the least of many is nearly the difference alone.
+//! A primary sends its current time with each answer. The difference between that and the time of arrival is the difference
+//! of the clocks plus the time of the transfer, which is never negative. The least of many such values is therefore close to
+//! the difference of the clocks alone.
 
 use std::cell::Cell;
 
 use beaconshore::interface::Micros;
 
-/// Answers of primaries that have to agree...
-const AGREEING: usize = 3;
-/// ...within this.
-const AGREEMENT: i64 = 5_000;
-/// Differences between these are none: answers take that long, and times are told in milliseconds.
-const NONE: std::ops::RangeInclusive<i64> = -2_000..=20_000;
-/// What is further off is no clock's fault.
-const LARGEST: i64 = 60_000_000;
+/// Number of samples that must agree before a difference is accepted.
+const REQUIRED_SAMPLES: usize = 3;
+/// Greatest spread of samples that agree, in microseconds.
+const MAX_SPREAD_US: i64 = 5_000;
+/// Differences that count as none, in microseconds: transfers take up to that long, and times are sent in milliseconds.
+const NO_DIFFERENCE_US: std::ops::RangeInclusive<i64> = -2_000..=20_000;
+/// Greater differences, in microseconds, are ignored: they are not the effect of a wrong clock.
+const MAX_SAMPLE_US: i64 = 60_000_000;
 
-/// The difference as known so far, in microseconds; this clock is ahead where it is positive.
+/// The estimated difference of the clocks. It is positive if this machine's clock is ahead of the members' clocks.
 #[derive(Debug, Default)]
 pub struct Skew {
-    /// The least that were seen, in order; as many as have to agree.
-    least: Cell<Option<[i64; AGREEING]>>,
+    /// The least samples so far in ascending order, in microseconds; as many as have to agree.
+    least_samples: Cell<Option<[i64; REQUIRED_SAMPLES]>>,
+    /// The accepted difference, in microseconds.
     difference: Cell<i64>,
 }
 
 impl Skew {
-    /// A primary told that it was `told` then, and that came `now`; true if that changed the difference.
-    pub fn sample(&self, told: Micros, now: Micros) -> bool {
-        let Some(seen) = now.checked_signed_diff(told).filter(|d| d.abs() <= LARGEST) else { return false };
-        let mut least = self.least.get().unwrap_or([i64::MAX; AGREEING]);
-        if seen >= least[AGREEING - 1] {
+    /// Adds a sample: a primary sent `primary_time` as its current time, which arrived at `now`. Returns whether the difference changed.
+    pub fn sample(&self, primary_time: Micros, now: Micros) -> bool {
+        let Some(sample) = now.checked_signed_diff(primary_time).filter(|d| d.abs() <= MAX_SAMPLE_US) else {
+            return false;
+        };
+        let mut least_samples = self.least_samples.get().unwrap_or([i64::MAX; REQUIRED_SAMPLES]);
+        if sample >= least_samples[REQUIRED_SAMPLES - 1] {
             return false;
         }
-        least[AGREEING - 1] = seen;
-        least.sort_unstable();
-        self.least.set(Some(least));
-        let (first, last) = (least[0], least[AGREEING - 1]);
-        let agreed = last != i64::MAX && last - first <= AGREEMENT;
-        let difference = if agreed && !NONE.contains(&last) { last } else { 0 };
-        // Both clocks run evenly: a difference once known is only ever known better.
-        agreed && self.difference.replace(difference) != difference
+        least_samples[REQUIRED_SAMPLES - 1] = sample;
+        least_samples.sort_unstable();
+        self.least_samples.set(Some(least_samples));
+        let (first, last) = (least_samples[0], least_samples[REQUIRED_SAMPLES - 1]);
+        let agrees = last != i64::MAX && last - first <= MAX_SPREAD_US;
+        let difference = if agrees && !NO_DIFFERENCE_US.contains(&last) { last } else { 0 };
+        // Both clocks run at the same rate, so further samples can only make the difference more precise.
+        agrees && self.difference.replace(difference) != difference
     }
 
-    /// What the members' clocks call this, on this machine's clock.
+    /// Converts a time of the members' clocks to this machine's clock.
     pub fn ours(&self, theirs: Micros) -> Micros {
         theirs.saturating_add_signed(self.difference.get())
     }
 
-    /// What this machine's clock calls this, on the members' clocks.
+    /// Converts a time of this machine's clock to the members' clocks.
     pub fn theirs(&self, ours: Micros) -> Micros {
         ours.saturating_add_signed(-self.difference.get())
     }
 
-    /// The difference, in microseconds.
+    /// The difference in microseconds; positive if this machine's clock is ahead.
     pub fn difference(&self) -> i64 {
         self.difference.get()
     }
@@ -66,31 +70,31 @@
     const T: Micros = 1_767_225_600_000_000;
 
     #[test]
-    fn clocks_that_agree_differ_by_nothing() {
+    fn transfer_times_alone_give_no_difference() {
         let skew = Skew::default();
-        for way in [900, 300, 40_000, 150, 2_000, 700] {
-            skew.sample(T, T + way);
+        for transfer in [900, 300, 40_000, 150, 2_000, 700] {
+            skew.sample(T, T + transfer);
         }
         assert_eq!((skew.difference(), skew.ours(T), skew.theirs(T)), (0, T, T));
     }
 
     #[test]
-    fn a_clock_that_is_off_is_known_from_a_few_answers_that_agree() {
-        for off in [5_800_000, 80_000, -150_000] {
+    fn a_wrong_clock_is_detected_from_a_few_samples_that_agree() {
+        for offset in [5_800_000, 80_000, -150_000] {
             let skew = Skew::default();
-            let told = |way: i64| skew.sample(T, T.saturating_add_signed(off + way));
-            assert!(!told(300) && !told(700_000), "two that don't agree tell nothing");
-            assert!(!told(900) && told(600), "three that do");
-            assert!((off..off + 1_000).contains(&skew.difference()), "{off}: {}", skew.difference());
-            assert!(skew.ours(T).abs_diff(T.saturating_add_signed(off)) < 1_000);
+            let add_sample = |transfer: i64| skew.sample(T, T.saturating_add_signed(offset + transfer));
+            assert!(!add_sample(300) && !add_sample(700_000), "two samples that do not agree have no effect");
+            assert!(!add_sample(900) && add_sample(600), "three samples that agree do");
+            assert!((offset..offset + 1_000).contains(&skew.difference()), "{offset}: {}", skew.difference());
+            assert!(skew.ours(T).abs_diff(T.saturating_add_signed(offset)) < 1_000);
             assert_eq!(skew.theirs(skew.ours(T)), T);
-            told(2_000_000);
-            assert!((off..off + 1_000).contains(&skew.difference()), "late answers change nothing");
+            add_sample(2_000_000);
+            assert!((offset..offset + 1_000).contains(&skew.difference()), "a slow answer changes nothing");
         }
     }
 
     #[test]
-    fn one_that_tells_another_time_is_not_believed() {
+    fn samples_that_deviate_alone_are_ignored() {
         let skew = Skew::default();
         for _ in 0..3 {
             skew.sample(T, T + 400);
--- a/crates/driver/src/stall.rs
+++ b/crates/driver/src/stall.rs
@@ -1,49 +1,50 @@
-//! Whether the driver stood still: on a busy or stopped core, what is read late may have come long before.
+//! Detects stalls of the process. After a stall, on a busy or stopped core, input that is read now may have arrived long ago.
 
 use std::cell::Cell;
 
 use beaconshore::interface::Micros;
 
-/// A timer of a driver that runs is less late than this.
-const LATE: Micros = 20_000;
-/// What waited meanwhile is read within so long after a standstill.
-const CATCH_UP: Micros = 5_000;
+/// Greatest delay of a timer in a process that is not stalled, in microseconds.
+const MAX_TIMER_DELAY: Micros = 20_000;
+/// Time after a stall in which the input that arrived during it is read, in microseconds.
+const CATCH_UP_TIME: Micros = 5_000;
 
-/// A stretch of time.
-type Stretch = (Micros, Micros);
+/// Start and end of a period.
+type Interval = (Micros, Micros);
 
-/// Watches how late the module's timer is.
+/// Detects stalls by how late the timer of the module's actor fires.
 #[derive(Debug, Default)]
 pub struct StallDetector {
-    /// When the timer was set, and when it is due.
-    timer: Cell<Option<Stretch>>,
-    /// When the driver stood still last, at the longest.
-    stood: Cell<Option<Stretch>>,
+    /// When the timer was set, and when it is due; `None` while it is not set.
+    timer: Cell<Option<Interval>>,
+    /// Longest possible period of the last stall: from the setting of the timer until it fired.
+    last_stall: Cell<Option<Interval>>,
 }
 
 impl StallDetector {
-    /// The timer is set.
+    /// Records that the timer was set.
     pub fn expect(&self, now: Micros, due: Micros) {
         self.timer.set(Some((now, due)));
     }
 
-    /// The timer went off; tells whether the driver stood still until then.
+    /// Records that the timer fired. Returns whether the process was stalled until then.
     pub fn beat(&self, now: Micros) -> bool {
-        let late = self.late(now);
+        let overdue_since = self.overdue_since(now);
         self.timer.set(None);
-        late.into_iter().for_each(|since| self.stood.set(Some((since, now))));
-        late.is_some()
+        overdue_since.into_iter().for_each(|since| self.last_stall.set(Some((since, now))));
+        overdue_since.is_some()
     }
 
-    /// When something that is read now has come at the earliest: now, but for what waited through a standstill.
+    /// Earliest time at which input that is read now can have arrived. This is `now`, unless the input may have waited
+    /// through a stall.
     pub fn came(&self, now: Micros) -> Micros {
-        let stood = self.stood.get().filter(|(_, until)| now <= until + CATCH_UP);
-        self.late(now).or(stood.map(|(since, _)| since)).unwrap_or(now)
+        let recent_stall = self.last_stall.get().filter(|(_, until)| now <= until + CATCH_UP_TIME);
+        self.overdue_since(now).or(recent_stall.map(|(since, _)| since)).unwrap_or(now)
     }
 
-    /// Since when nothing tells that the driver ran, if its timer is late.
-    fn late(&self, now: Micros) -> Option<Micros> {
-        self.timer.get().filter(|(_, due)| now > due + LATE).map(|(set, _)| set)
+    /// If the timer is late, the time at which it was set: since then nothing shows that the process was running.
+    fn overdue_since(&self, now: Micros) -> Option<Micros> {
+        self.timer.get().filter(|(_, due)| now > due + MAX_TIMER_DELAY).map(|(set, _)| set)
     }
 }
 
@@ -52,24 +53,24 @@
     use super::*;
 
     #[test]
-    fn while_the_timer_is_on_time_what_is_read_has_just_come() {
+    fn input_read_while_the_timer_is_on_time_counts_as_just_arrived() {
         let stalls = StallDetector::default();
         assert_eq!(stalls.came(5), 5);
         stalls.expect(990_000, 1_000_000);
-        assert_eq!(stalls.came(1_000_000 + LATE), 1_000_000 + LATE);
-        assert!(!stalls.beat(1_000_000 + LATE));
-        stalls.expect(1_000_000 + LATE, 1_010_000 + LATE);
-        assert_eq!(stalls.came(1_000_000 + LATE), 1_000_000 + LATE);
+        assert_eq!(stalls.came(1_000_000 + MAX_TIMER_DELAY), 1_000_000 + MAX_TIMER_DELAY);
+        assert!(!stalls.beat(1_000_000 + MAX_TIMER_DELAY));
+        stalls.expect(1_000_000 + MAX_TIMER_DELAY, 1_010_000 + MAX_TIMER_DELAY);
+        assert_eq!(stalls.came(1_000_000 + MAX_TIMER_DELAY), 1_000_000 + MAX_TIMER_DELAY);
     }
 
     #[test]
-    fn after_a_standstill_what_is_read_may_have_come_since_its_start() {
+    fn input_read_after_a_stall_may_have_arrived_since_its_start() {
         let stalls = StallDetector::default();
         stalls.expect(990_000, 1_000_000);
-        assert_eq!(stalls.came(1_700_000), 990_000, "read before the timer goes off");
+        assert_eq!(stalls.came(1_700_000), 990_000, "read before the timer fires");
         assert!(stalls.beat(1_700_100));
         stalls.expect(1_700_100, 1_710_100);
-        assert_eq!(stalls.came(1_700_200), 990_000, "read right after it");
-        assert_eq!(stalls.came(1_706_000), 1_706_000, "what comes later is new");
+        assert_eq!(stalls.came(1_700_200), 990_000, "read right after the timer fired");
+        assert_eq!(stalls.came(1_706_000), 1_706_000, "input read later has just arrived");
     }
 }
