--- a/crates/driver/src/skew.rs
+++ b/crates/driver/src/skew.rs
@@ -16,7 +16,7 @@
 /// Differences that count as none, in microseconds: transfers take up to that long, and times are sent in milliseconds.
 const NO_DIFFERENCE_US: std::ops::RangeInclusive<i64> = -2_000..=20_000;
 /// Greater differences, in microseconds, are ignored: they are not the effect of a wrong clock.
-const MAX_SAMPLE_US: i64 = 60_000_000;
+const MAX_DIFF: i64 = 60_000_000;
 
 /// The estimated difference of the clocks. It is positive if this machine's clock is ahead of the members' clocks.
 #[derive(Debug, Default)]
@@ -28,16 +28,15 @@
 }
 
 impl Skew {
-    /// Adds a sample: a primary sent `primary_time` as its current time, which arrived at `now`. Returns whether the difference changed.
-    pub fn sample(&self, primary_time: Micros, now: Micros) -> bool {
-        let Some(sample) = now.checked_signed_diff(primary_time).filter(|d| d.abs() <= MAX_SAMPLE_US) else {
-            return false;
-        };
+    /// Adds a sample: a primary sent the time `sent` of its clock, which arrived at `now`. Returns whether the difference
+    /// changed.
+    pub fn sample(&self, sent: Micros, now: Micros) -> bool {
+        let Some(diff) = now.checked_signed_diff(sent).filter(|d| d.abs() <= MAX_DIFF) else { return false };
         let mut least_samples = self.least_samples.get().unwrap_or([i64::MAX; REQUIRED_SAMPLES]);
-        if sample >= least_samples[REQUIRED_SAMPLES - 1] {
+        if diff >= least_samples[REQUIRED_SAMPLES - 1] {
             return false;
         }
-        least_samples[REQUIRED_SAMPLES - 1] = sample;
+        least_samples[REQUIRED_SAMPLES - 1] = diff;
         least_samples.sort_unstable();
         self.least_samples.set(Some(least_samples));
         let (first, last) = (least_samples[0], least_samples[REQUIRED_SAMPLES - 1]);
