--- a/crates/driver/src/budget.rs
+++ b/crates/driver/src/budget.rs
@@ -1,5 +1,5 @@
-//! Memory: how many large messages may be in the driver at once, so that many of them wait rather than take more than
-//! the machine allows.
+//! Memory limit: how many large messages the driver may hold at once. Further ones wait, so that the driver never takes more
+//! memory than the machine allows.
 
 use std::sync::Arc;
 
@@ -7,29 +7,32 @@
 
 use crate::pg;
 
-/// What the driver takes without any large message: code, tables, connections with usual messages.
-const BASE: usize = 12 << 20;
-/// A large request at its worst: read, copied to outlive its buffer, and written to a member.
-const REQUEST: usize = 3 * pg::MAX_QUERY;
-/// A large answer at its worst: read, and kept until its client has taken it.
-const ANSWER: usize = 2 * pg::MAX_ANSWER;
+/// Memory of a driver that holds no large message, in bytes: code, tables, and connections with small messages.
+const BASE_BYTES: usize = 12 << 20;
+/// Most memory that a large request takes, in bytes: it is read, copied so that it outlives the read buffer, and copied again
+/// to be written to a member.
+const REQUEST_BYTES: usize = 3 * pg::MAX_QUERY;
+/// Most memory that a large answer takes, in bytes: it is read, and kept until its client has received it.
+const ANSWER_BYTES: usize = 2 * pg::MAX_ANSWER;
 
-/// A place for a large message, held as long as it takes memory.
+/// A permit to hold one large message, kept for as long as the message takes memory.
 pub type Share = SemaphoreGuardArc;
 
-/// The places for large messages.
+/// The permits for large messages.
 pub struct Budget {
-    /// Of clients.
+    /// For requests of clients.
     pub requests: Arc<Semaphore>,
-    /// Of members: places of their own, since a request holds its place until it has its answer.
+    /// For answers of members. They have their own permits because a request keeps its permit until it is answered: with
+    /// shared permits, requests could hold all of them while each waits for an answer.
     pub answers: Arc<Semaphore>,
 }
 
 impl Budget {
-    /// Divides so many megabytes, half and half; the rest of the driver is left its part.
+    /// Divides a memory limit: `BASE_BYTES` and a quarter of the rest stay free, and the remainder is split evenly between
+    /// requests and answers.
     pub fn divide(megabytes: usize) -> Self {
-        let half = (megabytes << 20).saturating_sub(BASE) * 3 / 4 / 2;
-        let places = |each: usize| Arc::new(Semaphore::new((half / each).max(2)));
-        Budget { requests: places(REQUEST), answers: places(ANSWER) }
+        let half = (megabytes << 20).saturating_sub(BASE_BYTES) * 3 / 4 / 2;
+        let permits = |bytes_each: usize| Arc::new(Semaphore::new((half / bytes_each).max(2)));
+        Budget { requests: permits(REQUEST_BYTES), answers: permits(ANSWER_BYTES) }
     }
 }
--- a/crates/driver/src/buffer.rs
+++ b/crates/driver/src/buffer.rs
@@ -1,7 +1,7 @@
-//! A connection's read buffer: messages are slices of it until they are consumed.
+//! The read buffer of a connection. Messages are slices of it until they are consumed.
 //!
-//! It takes no memory while nothing is in it, little for usual messages, and more for a large one only with a
-//! place among the few that may be large at once.
+//! An empty buffer takes no memory, and small messages take little. A buffer grows for a large message only with a permit,
+//! of which there are few (see `budget`).
 
 use std::io;
 
@@ -9,27 +9,28 @@
 
 use crate::budget::Share;
 
-/// Room made for usual reads.
-const ROOM: usize = 4 * 1024;
-/// A message up to this needs no place among the large ones.
+/// Bytes of space that a read has at least.
+const MIN_READ_BYTES: usize = 4 * 1024;
+/// Longest message, in bytes, that needs no permit for large messages.
 pub const USUAL: usize = 12 * 1024;
 
-/// Bytes that were read and not yet consumed.
+/// The bytes that were read and not yet consumed.
 #[derive(Default)]
 pub struct Buffer {
     bytes: Vec<u8>,
     start: usize,
     end: usize,
+    /// The permit for a large message, once it was granted.
     large: Option<Share>,
 }
 
 impl Buffer {
-    /// What was read and not consumed.
+    /// The bytes that were read and not yet consumed.
     pub fn filled(&self) -> &[u8] {
         &self.bytes[self.start..self.end]
     }
 
-    /// Drops so many bytes from the front, and the memory with the last one; yields the place of a large message.
+    /// Removes bytes from the front. When none is left, frees the memory and returns the permit for a large message.
     pub fn consume(&mut self, count: usize) -> Option<Share> {
         self.start += count.min(self.end - self.start);
         if self.start < self.end {
@@ -38,31 +39,31 @@
         std::mem::take(self).large
     }
 
-    /// Whether a message of this length is whole only with more room, which needs a place among the large ones.
+    /// Whether a message of this length, in bytes, needs a permit that the buffer does not have yet.
     pub fn lacks_room(&self, length: usize) -> bool {
         length > USUAL && self.large.is_none()
     }
 
-    /// Gives room to a large message.
+    /// Allows the buffer to grow for a large message.
     pub fn grant(&mut self, large: Share) {
         self.large = Some(large);
     }
 
-    /// Whether there is room to read on in any case: for what usual messages take.
+    /// Whether more can be read without growing beyond the space for small reads.
     pub fn has_room(&self) -> bool {
-        self.filled().len() < ROOM
+        self.filled().len() < MIN_READ_BYTES
     }
 
-    /// Reads once, towards a message of this length (0: not known yet); 0 is the end of the stream. Losing this future
-    /// loses no bytes.
+    /// Reads once, with space for a message of this length (0: not known yet). Returns the number of bytes read; 0 is the end
+    /// of the stream. The future can be dropped at any time without losing bytes.
     pub async fn fill(&mut self, length: usize, stream: &mut (impl AsyncRead + Unpin)) -> io::Result<usize> {
-        let wanted = length.max(ROOM);
-        if self.end == self.bytes.len() || self.start + wanted > self.bytes.len() {
+        let capacity = length.max(MIN_READ_BYTES);
+        if self.end == self.bytes.len() || self.start + capacity > self.bytes.len() {
             self.bytes.copy_within(self.start..self.end, 0);
             (self.start, self.end) = (0, self.end - self.start);
-            if wanted > self.bytes.len() {
-                self.bytes.reserve_exact(wanted - self.bytes.len());
-                self.bytes.resize(wanted, 0);
+            if capacity > self.bytes.len() {
+                self.bytes.reserve_exact(capacity - self.bytes.len());
+                self.bytes.resize(capacity, 0);
             }
         }
         let count = stream.read(&mut self.bytes[self.end..]).await?;
--- a/crates/driver/src/descriptors.rs
+++ b/crates/driver/src/descriptors.rs
@@ -1,5 +1,5 @@
-//! File descriptors: how many connections of clients and of members may be open, so that neither takes the
-//! other's; and which idle one goes first when they run short.
+//! Limits on file descriptors: how many connections of clients and of members may be open, so that neither kind can use up
+//! the descriptors of the other, and which idle connection is closed first when a limit is reached.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -8,90 +8,96 @@
 
 use async_lock::{Semaphore, SemaphoreGuardArc};
 
-/// Kept back for the list (two at once while it moves), peers, the reactor, signals, the listener, standard
-/// streams, a file that is read, and one accept in advance.
-const RESERVE: usize = 32;
+/// Number of descriptors reserved for everything else: calls to discovery (to two addresses at once while the address
+/// changes), the socket for peers, the reactor, signals, the listener, the standard streams, a file that is being read, and
+/// one connection that is accepted in advance.
+const RESERVED: usize = 32;
 
-/// The places for connections.
+/// The permits for connections of both kinds.
 pub struct Descriptors {
-    /// Of clients.
+    /// For connections of clients.
     pub clients: Places,
-    /// Of members: fewer, since a request that waits has a client but no member.
+    /// For connections to members. These are fewer, since a waiting request occupies a client connection but none to a
+    /// member.
     pub members: Places,
 }
 
 impl Descriptors {
-    /// Divides what a process may hold.
+    /// Divides the number of descriptors that the process may have open.
     pub fn divide(sockets: usize) -> Self {
-        let free = sockets.saturating_sub(RESERVE).max(2);
+        let free = sockets.saturating_sub(RESERVED).max(2);
         let members = (free * 2 / 5).max(1);
         Descriptors { clients: Places::new(free - members), members: Places::new(members) }
     }
 }
 
-/// Which idle connections go first when places run short.
+/// Order in which idle connections are closed when the limit is reached; lower values first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rank {
-    /// Those that have not been of use yet.
+    /// Connections that serve no request: none has been received on them yet, their next message is incomplete, or they
+    /// are being closed.
     Useless,
-    /// Those between uses.
+    /// Connections that have served requests and wait for the next one.
     Used,
 }
 
-/// Places for connections of one kind, and the wishes that idle ones be closed.
+/// The permits for connections of one kind, and the idle connections that can be closed to free some.
 #[derive(Clone)]
 pub struct Places(Rc<Inner>);
 
 struct Inner {
     free: Arc<Semaphore>,
+    /// Number of permits in use.
     taken: Cell<usize>,
-    idle: RefCell<BTreeMap<Turn, Box<dyn Fn()>>>,
-    turn: Cell<u64>,
-    /// Those that wait for a place.
+    /// The idle connections, with the functions that ask them to close.
+    idle: RefCell<BTreeMap<IdlePosition, Box<dyn Fn()>>>,
+    /// Number of the next registration of an idle connection.
+    next_number: Cell<u64>,
+    /// Number of tasks that wait for a permit.
     waiting: Cell<usize>,
 }
 
-/// Of one rank, those that are idle for longer come first.
-type Turn = (Rank, u64);
+/// Position of an idle connection in the order of closing: within one rank, the longest idle comes first.
+type IdlePosition = (Rank, u64);
 
-/// Holds a connection's place as long as it lives.
+/// A permit for one connection. Dropping it frees the descriptor for others.
 pub struct Permit {
     places: Places,
-    _place: SemaphoreGuardArc,
+    _semaphore_guard: SemaphoreGuardArc,
 }
 
-/// Says that a connection is idle, as long as it lives.
+/// Registration of an idle connection, in effect until it is dropped.
 pub struct Rest {
     places: Places,
-    turn: Turn,
+    position: IdlePosition,
 }
 
 impl Places {
     fn new(count: usize) -> Self {
-        let (taken, idle, turn, waiting) = Default::default();
-        Places(Rc::new(Inner { free: Arc::new(Semaphore::new(count)), taken, idle, turn, waiting }))
+        let (taken, idle, next_number, waiting) = Default::default();
+        Places(Rc::new(Inner { free: Arc::new(Semaphore::new(count)), taken, idle, next_number, waiting }))
     }
 
-    /// A place if one is free.
+    /// Returns a permit if one is free.
     pub fn try_take(&self) -> Option<Permit> {
-        self.0.free.try_acquire_arc().map(|place| self.permit(place))
+        self.0.free.try_acquire_arc().map(|guard| self.permit(guard))
     }
 
-    /// Waits for a place; the first in turn of the idle connections is asked to go, or else the next that is idle.
+    /// Waits for a permit. Asks the first idle connection to close; if there is none, the next that becomes idle is asked.
     pub async fn take(&self) -> Permit {
         self.close_first();
-        let _waits = Counted::new(&self.0.waiting);
+        let _guard = WaitGuard::new(&self.0.waiting);
         self.permit(self.0.free.acquire_arc().await)
     }
 
-    /// How many are taken.
+    /// Number of permits in use.
     pub fn taken(&self) -> usize {
         self.0.taken.get()
     }
 
-    fn permit(&self, place: SemaphoreGuardArc) -> Permit {
+    fn permit(&self, guard: SemaphoreGuardArc) -> Permit {
         self.0.taken.set(self.taken() + 1);
-        Permit { places: self.clone(), _place: place }
+        Permit { places: self.clone(), _semaphore_guard: guard }
     }
 
     fn close_first(&self) {
@@ -99,26 +105,26 @@
         first.into_iter().for_each(|(_, close)| close());
     }
 
-    /// Notes that a connection is idle, with the way to have it closed.
+    /// Registers a connection as idle. `close` asks it to close.
     pub fn rest(&self, rank: Rank, close: impl Fn() + 'static) -> Rest {
-        let turn = (rank, self.0.turn.get());
-        self.0.turn.set(turn.1 + 1);
-        self.0.idle.borrow_mut().insert(turn, Box::new(close));
+        let position = (rank, self.0.next_number.get());
+        self.0.next_number.set(position.1 + 1);
+        self.0.idle.borrow_mut().insert(position, Box::new(close));
         self.asked_in_vain();
-        Rest { places: self.clone(), turn }
+        Rest { places: self.clone(), position }
     }
 
-    /// Notes that a connection that was asked to go has come into use again: another one is asked.
+    /// Records that a connection that was asked to close is in use again. Another one is asked if a task still waits.
     pub fn asked_in_vain(&self) {
         if self.0.waiting.get() > 0 {
             self.close_first();
         }
     }
 
-    /// Asks all idle connections to go.
+    /// Asks all idle connections to close.
     pub fn close_idle(&self) {
-        let all = std::mem::take(&mut *self.0.idle.borrow_mut());
-        all.into_values().for_each(|close| close());
+        let idle = std::mem::take(&mut *self.0.idle.borrow_mut());
+        idle.into_values().for_each(|close| close());
     }
 }
 
@@ -131,21 +137,21 @@
 
 impl Drop for Rest {
     fn drop(&mut self) {
-        self.places.0.idle.borrow_mut().remove(&self.turn);
+        self.places.0.idle.borrow_mut().remove(&self.position);
     }
 }
 
-/// Counts one that waits, for as long as it does.
-struct Counted<'a>(&'a Cell<usize>);
+/// Increments a counter of waiting tasks, and decrements it when dropped.
+struct WaitGuard<'a>(&'a Cell<usize>);
 
-impl<'a> Counted<'a> {
+impl<'a> WaitGuard<'a> {
     fn new(count: &'a Cell<usize>) -> Self {
         count.set(count.get() + 1);
-        Counted(count)
+        WaitGuard(count)
     }
 }
 
-impl Drop for Counted<'_> {
+impl Drop for WaitGuard<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
@@ -156,22 +162,25 @@
     use super::*;
 
     #[test]
-    fn those_of_no_use_yet_go_first_then_the_longest_idle() {
+    fn unused_connections_are_closed_first_then_the_longest_idle() {
         let places = Places::new(3);
-        let gone = Rc::new(RefCell::new(Vec::new()));
-        let rest = |rank, name: &'static str| {
-            let gone = gone.clone();
-            places.rest(rank, move || gone.borrow_mut().push(name))
+        let closed = Rc::new(RefCell::new(Vec::new()));
+        let register = |rank, name: &'static str| {
+            let closed = closed.clone();
+            places.rest(rank, move || closed.borrow_mut().push(name))
         };
-        let _idle =
-            (rest(Rank::Used, "used"), rest(Rank::Used, "used later"), rest(Rank::Useless, "useless"));
-        drop(rest(Rank::Useless, "awake again"));
+        let _idle = (
+            register(Rank::Used, "used"),
+            register(Rank::Used, "used later"),
+            register(Rank::Useless, "useless"),
+        );
+        drop(register(Rank::Useless, "awake again"));
         (0..3).for_each(|_| places.close_first());
-        assert_eq!(*gone.borrow(), ["useless", "used", "used later"]);
+        assert_eq!(*closed.borrow(), ["useless", "used", "used later"]);
     }
 
     #[test]
-    fn places_are_given_back() {
+    fn dropped_permits_can_be_acquired_again() {
         let places = Places::new(2);
         let held = (places.try_take(), places.try_take());
         assert!(held.0.is_some() && held.1.is_some() && places.try_take().is_none());
