--- a/crates/driver/src/clock.rs
+++ b/crates/driver/src/clock.rs
@@ -1,5 +1,5 @@
-//! The driver's clock: monotonic, anchored once to Unix time, so that it reads what all machines' clocks read
-//! and never goes back.
+//! The clock of the driver: Unix time at the start of the driver, continued by a monotonic clock. It agrees with the clocks of
+//! other machines and never goes backwards.
 
 use std::future::Future;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -11,39 +11,40 @@
 /// Microseconds of Unix time, counted on a monotonic clock.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    anchor: Instant,
-    unix: Micros,
+    started_at: Instant,
+    /// Unix time at `started_at`.
+    unix_start: Micros,
 }
 
 impl Clock {
-    /// Anchors a clock to the present.
+    /// Starts a clock at the current Unix time.
     pub fn start() -> Self {
-        let anchor = Instant::now();
+        let started_at = Instant::now();
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { anchor, unix: unix.as_micros() as Micros }
+        Clock { started_at, unix_start: unix.as_micros() as Micros }
     }
 
-    /// The present.
+    /// The current time.
     pub fn now(&self) -> Micros {
-        self.unix + self.anchor.elapsed().as_micros() as Micros
+        self.unix_start + self.started_at.elapsed().as_micros() as Micros
     }
 
-    /// The same point for timers.
+    /// Converts a time of this clock for use with timers.
     pub fn instant(&self, at: Micros) -> Instant {
-        self.anchor + Duration::from_micros(at.saturating_sub(self.unix))
+        self.started_at + Duration::from_micros(at.saturating_sub(self.unix_start))
     }
 }
 
-/// The future's value, or none once the time has come.
-pub async fn until<T>(at: Instant, future: impl Future<Output = T>) -> Option<T> {
-    let late = async {
-        Timer::at(at).await;
+/// Awaits a future until a deadline; `None` if the deadline comes first.
+pub async fn until<T>(deadline: Instant, future: impl Future<Output = T>) -> Option<T> {
+    let timeout = async {
+        Timer::at(deadline).await;
         None
     };
-    future::or(async { Some(future.await) }, late).await
+    future::or(async { Some(future.await) }, timeout).await
 }
 
-/// The future's value, or none after so long.
-pub async fn within<T>(length: Duration, future: impl Future<Output = T>) -> Option<T> {
-    until(Instant::now() + length, future).await
+/// Awaits a future for at most this long; `None` if it takes longer.
+pub async fn within<T>(limit: Duration, future: impl Future<Output = T>) -> Option<T> {
+    until(Instant::now() + limit, future).await
 }
--- a/crates/driver/src/ids.rs
+++ b/crates/driver/src/ids.rs
@@ -1,4 +1,4 @@
-//! The ids of requests, as their clients word them: no two requests have the same.
+//! The ids that clients give to their requests. At any time, no two requests of a driver may have the same id.
 
 use std::cell::RefCell;
 use std::collections::{HashSet, VecDeque};
@@ -6,45 +6,47 @@
 
 use beaconshore::interface::Micros;
 
-/// Longest id that is taken.
+/// Longest id that is accepted, in bytes.
 pub const MAX_ID: usize = 64;
-/// An id counts as taken for so long after its request was answered: a copy of it may have been on its way.
-const AFTERGLOW: Micros = 2_000_000;
-/// Bound on those that are kept after their requests.
-const MAX_KEPT: usize = 4096;
+/// How long an id stays reserved after its request was answered, in microseconds: a duplicate of the request may still be in
+/// transit.
+const REUSE_DELAY: Micros = 2_000_000;
+/// Greatest number of ids that stay reserved after their requests.
+const MAX_RELEASED: usize = 4096;
 
-/// Ids of requests that are open, or were so a moment ago.
+/// The ids of open requests, and of requests answered recently.
 #[derive(Default)]
 pub struct Ids {
-    taken: RefCell<HashSet<Rc<[u8]>>>,
-    /// Those of answered requests, with when they were answered.
-    kept: RefCell<VecDeque<(Micros, Rc<[u8]>)>>,
+    /// All reserved ids.
+    reserved: RefCell<HashSet<Rc<[u8]>>>,
+    /// The ids of answered requests with the time of the answer, oldest first.
+    released: RefCell<VecDeque<(Micros, Rc<[u8]>)>>,
 }
 
 impl Ids {
-    /// Takes an id for a request; false if it is another request's.
+    /// Reserves an id for a request. Returns false if another request has it.
     pub fn take(&self, id: &Rc<[u8]>, now: Micros) -> bool {
-        let (mut taken, mut kept) = (self.taken.borrow_mut(), self.kept.borrow_mut());
-        while let Some((_, old)) =
-            kept.front().filter(|(at, _)| now > at + AFTERGLOW || kept.len() > MAX_KEPT)
+        let (mut reserved, mut released) = (self.reserved.borrow_mut(), self.released.borrow_mut());
+        while let Some((_, oldest)) =
+            released.front().filter(|(at, _)| now > at + REUSE_DELAY || released.len() > MAX_RELEASED)
         {
-            taken.remove(old);
-            kept.pop_front();
+            reserved.remove(oldest);
+            released.pop_front();
         }
-        taken.insert(id.clone())
+        reserved.insert(id.clone())
     }
 
-    /// Notes that the request is answered, or its client gone.
+    /// Records that the request was answered, or that its client has disconnected.
     pub fn release(&self, id: Rc<[u8]>, now: Micros) {
-        self.kept.borrow_mut().push_back((now, id));
+        self.released.borrow_mut().push_back((now, id));
     }
 
-    /// How many are held.
+    /// Number of reserved ids.
     pub fn len(&self) -> usize {
-        self.taken.borrow().len()
+        self.reserved.borrow().len()
     }
 
-    /// Whether none is held.
+    /// Whether no id is reserved.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -55,23 +57,23 @@
     use super::*;
 
     #[test]
-    fn an_id_is_taken_once_until_a_while_after_its_request() {
+    fn an_id_can_be_reused_only_after_a_delay() {
         let (ids, id): (Ids, Rc<[u8]>) = (Ids::default(), Rc::from(&b"9b1f"[..]));
         assert!(ids.take(&id, 0));
-        assert!(!ids.take(&id, 60_000_000), "its request is open");
+        assert!(!ids.take(&id, 60_000_000), "the request with this id is open");
         ids.release(id.clone(), 60_000_000);
-        assert!(!ids.take(&id, 60_000_000 + AFTERGLOW));
-        assert!(ids.take(&id, 60_000_001 + AFTERGLOW));
+        assert!(!ids.take(&id, 60_000_000 + REUSE_DELAY));
+        assert!(ids.take(&id, 60_000_001 + REUSE_DELAY));
     }
 
     #[test]
-    fn what_is_kept_is_bounded() {
+    fn the_number_of_reserved_ids_is_bounded() {
         let ids = Ids::default();
-        for number in 0..3 * MAX_KEPT as u64 {
+        for number in 0..3 * MAX_RELEASED as u64 {
             let id: Rc<[u8]> = Rc::from(&number.to_be_bytes()[..]);
             assert!(ids.take(&id, number));
             ids.release(id, number);
         }
-        assert!(ids.len() <= MAX_KEPT + 2, "{}", ids.len());
+        assert!(ids.len() <= MAX_RELEASED + 2, "{}", ids.len());
     }
 }
--- a/crates/driver/src/meter.rs
+++ b/crates/driver/src/meter.rs
@@ -1,58 +1,59 @@
-//! Processor time by kind of work, read from the thread's clock around the code that does it.
+//! Measures processor time by kind of work, with the CPU clock of the thread before and after each piece of work.
 //!
-//! Owns the sums. Off unless the operator's file asks for it: then it costs two calls of the system for each piece of work.
+//! Owns the sums. Measuring is off unless the operator's file turns it on; it costs two system calls per piece of work.
 
 use std::cell::Cell;
 use std::fmt::Write;
 
 use rustix::time::{clock_gettime, ClockId};
 
-/// What processor time is spent on.
+/// A kind of work whose processor time is measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Work {
-    /// Reading membership lists and taking them in.
+    /// Parsing membership lists and applying them.
     List,
-    /// Reading and writing messages between drivers.
+    /// Encoding, decoding, sending and receiving messages between drivers, and handling them.
     PeerMessages,
-    /// The decision module's timer.
+    /// The timer events of the decision module.
     Timer,
-    /// Requests, attempts and probes: what traffic pays for itself.
+    /// Requests, attempts and probes: the work that grows with traffic.
     Traffic,
 }
 
 const NAMES: [&str; 4] = ["list", "peer_messages", "timer", "traffic"];
 
-/// The sums, in nanoseconds.
+/// The processor time spent so far, by kind of work.
 #[derive(Debug, Default)]
 pub struct Meter {
     enabled: bool,
+    /// Sums in nanoseconds, indexed by [`Work`].
     spent: [Cell<u64>; NAMES.len()],
 }
 
 impl Meter {
-    /// A meter that measures, or one that costs nothing.
+    /// Creates a meter. If it is not enabled it measures nothing and costs no system calls.
     pub fn new(enabled: bool) -> Self {
         Meter { enabled, ..Meter::default() }
     }
 
-    /// Does a piece of work and adds its time. Pieces must not lie within each other.
-    pub fn measure<T>(&self, work: Work, piece: impl FnOnce() -> T) -> T {
+    /// Runs a piece of work and adds its time. Calls must not be nested, since the inner time would be counted twice.
+    pub fn measure<T>(&self, work: Work, task: impl FnOnce() -> T) -> T {
         if !self.enabled {
-            return piece();
+            return task();
         }
         let before = thread_time();
-        let value = piece();
+        let value = task();
         let sum = &self.spent[work as usize];
         sum.set(sum.get() + thread_time().saturating_sub(before));
         value
     }
 
-    /// Nanoseconds spent on a kind of work so far.
+    /// Processor time spent on a kind of work so far, in nanoseconds.
     pub fn spent(&self, work: Work) -> u64 {
         self.spent[work as usize].get()
     }
 
-    /// All sums and the whole process's time, in one line; none if nothing is measured.
+    /// The processor time of the whole process and all sums in one line; `None` if nothing is measured.
     pub fn line(&self) -> Option<String> {
         let mut line = format!("process_ns={}", nanoseconds(ClockId::ProcessCPUTime));
         for (name, spent) in NAMES.iter().zip(&self.spent) {
--- a/crates/driver/src/stats.rs
+++ b/crates/driver/src/stats.rs
@@ -1,4 +1,5 @@
-//! Counters, what the driver holds, the regular lines in the log, and the checks of what must hold.
+//! The counters of a driver, the sizes of its tables, the lines that report both in the log at intervals, and the checks of
+//! invariants.
 
 use std::cell::{Cell, RefCell};
 use std::fmt::Write;
@@ -12,12 +13,12 @@
 
 use crate::Node;
 
-/// Pause between two lines.
-const PERIOD: Duration = Duration::from_secs(10);
+/// Time between two reports in the log.
+const REPORT_INTERVAL: Duration = Duration::from_secs(10);
 
 macro_rules! counters {
     ($($(#[$doc:meta])* $name:ident = $text:literal),* $(,)?) => {
-        /// What is counted.
+        /// An event that is counted.
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
         pub enum Counter { $($(#[$doc])* $name),* }
         const NAMES: &[&str] = &[$($text),*];
@@ -25,81 +26,81 @@
 }
 
 counters!(
-    /// Connections of clients.
+    /// Connections of clients that were accepted.
     Accepted = "accepted",
-    /// Requests taken.
+    /// Requests accepted from clients.
     Requests = "requests",
-    /// Requests answered with what a member gave.
+    /// Requests answered with a member's result.
     Served = "served",
-    /// Requests refused.
+    /// Requests refused, with a time after which to retry.
     Refused = "refused",
-    /// Requests failed.
+    /// Requests answered with a failure.
     Failed = "failed",
-    /// Requests whose client left first.
+    /// Requests whose client disconnected or cancelled before the answer.
     HungUp = "hung_up",
-    /// Statements that were not in the clients' form.
+    /// Statements that are not valid requests.
     BadRequests = "bad_requests",
-    /// Clients' connections whose stream could not be followed.
+    /// Client connections closed because of a violation of the protocol.
     BadStreams = "bad_streams",
-    /// Connections told that there is no room for them.
+    /// Client connections rejected because the limit on descriptors was reached.
     NoRoom = "no_room",
-    /// Connections ended by the driver's end in the middle of a message, or before any.
+    /// Client connections that the shutdown of the driver ended in the middle of a message or before their first one.
     CutShort = "cut_short",
-    /// Connections that ended before anything was answered on them.
+    /// Client connections that ended before any answer was sent on them.
     Unanswered = "unanswered",
-    /// Requests answered without any attempt at a member.
+    /// Requests answered without an attempt at any member.
     Untried = "untried",
-    /// Attempts decided.
+    /// Attempts passed to the actors of members.
     Attempts = "attempts",
     /// Attempts that a member answered with an error.
     Errors = "errors",
-    /// Attempts that a member turned away as full.
+    /// Attempts that a member rejected because it has reached its limit.
     TurnedAway = "turned_away",
-    /// Attempts that a member turned away as no primary, or as too far behind.
+    /// Attempts that a member rejected because it is not the primary or is too far behind.
     Misplaced = "misplaced",
-    /// Attempts that got no connection.
+    /// Attempts for which no connection could be opened.
     Unreachable = "unreachable",
-    /// Attempts whose connection broke.
+    /// Attempts whose connection broke before the answer.
     Resets = "resets",
     /// Attempts without an answer in time.
     TimedOut = "timed_out",
-    /// Attempts never sent, since they had to wait for too long.
+    /// Attempts that were never sent: their time ran out first, or they were no longer wanted.
     Unsent = "unsent",
-    /// Connections to members opened.
+    /// Connections to members that the driver tried to open.
     Connects = "connects",
-    /// Connections to members used again.
+    /// Times that an idle connection to a member was used again.
     Reused = "reused",
-    /// Probes sent.
+    /// Probes of members started.
     Probes = "probes",
-    /// Lists and changes of the list.
+    /// Membership lists and updates taken in.
     Lists = "lists",
-    /// Calls of discovery that it answered.
+    /// Calls to discovery that it answered.
     Watches = "watches",
-    /// Calls of discovery that brought nothing, and watches that ended.
+    /// Calls to discovery that failed, and watches that ended.
     CallsFailed = "calls_failed",
-    /// Datagrams sent.
+    /// Datagrams sent to other drivers.
     Told = "told",
-    /// Datagrams taken.
+    /// Datagrams from other drivers that were accepted.
     Heard = "heard",
-    /// Datagrams passed over.
+    /// Datagrams from other drivers that were dropped, and messages to them that found no room to wait.
     Dropped = "dropped",
-    /// Bytes of datagrams sent, without their headers.
+    /// Bytes of datagrams sent, without IP and UDP headers.
     PeerBytesSent = "peer_bytes_sent",
-    /// Bytes of datagrams that came, without their headers.
+    /// Bytes of datagrams received, without IP and UDP headers.
     PeerBytesReceived = "peer_bytes_received",
     /// Bytes sent to discovery.
     ListBytesSent = "list_bytes_sent",
-    /// Bytes that came from discovery.
+    /// Bytes received from discovery.
     ListBytesReceived = "list_bytes_received",
-    /// Times that somebody had to wait for a descriptor.
+    /// Times that an actor had to wait for a descriptor.
     Short = "short_of_descriptors",
-    /// Times that the driver stood still.
+    /// Stalls of the process.
     Standstills = "standstills",
-    /// Broken invariants.
+    /// Violated invariants.
     Breaches = "breaches",
 );
 
-/// The driver's counters, how zones stand, and the sizes of the decision module's tables as last noted.
+/// The counters of a driver, and the last recorded sizes of the decision module's tables and states of zones.
 #[derive(Debug)]
 pub struct Stats {
     counts: [Cell<u64>; NAMES.len()],
@@ -118,23 +119,24 @@
 }
 
 impl Stats {
-    /// Counts one.
+    /// Adds one to a counter.
     pub fn count(&self, counter: Counter) {
         self.add(counter, 1);
     }
 
-    /// Counts so many.
-    pub fn add(&self, counter: Counter, many: usize) {
+    /// Adds a number to a counter.
+    pub fn add(&self, counter: Counter, number: usize) {
         let cell = &self.counts[counter as usize];
-        cell.set(cell.get() + many as u64);
+        cell.set(cell.get() + number as u64);
     }
 
-    /// How many were counted.
+    /// The value of a counter.
     pub fn of(&self, counter: Counter) -> u64 {
         self.counts[counter as usize].get()
     }
 
-    /// Checks what must hold: a breach ends a debug build, and is counted and logged by a release build.
+    /// Checks an invariant. A violation panics in a debug build; a release build counts and logs it. `what` describes the
+    /// invariant.
     pub fn check(&self, holds: bool, what: &str) {
         debug_assert!(holds, "broken invariant: {what}");
         if !holds {
@@ -143,7 +145,7 @@
         }
     }
 
-    /// All counters that are not zero, in one line.
+    /// All counters that are not zero, in one line of `name=value` pairs.
     pub fn line(&self) -> String {
         let mut line = String::new();
         for (name, count) in NAMES.iter().zip(&self.counts).filter(|(_, count)| count.get() > 0) {
@@ -152,23 +154,23 @@
         line
     }
 
-    /// Notes the sizes of the decision module's tables.
+    /// Records the sizes of the decision module's tables.
     pub fn note(&self, sizes: Sizes) {
         self.sizes.set(sizes);
     }
 
-    /// Notes how zones stand; none without planners.
+    /// Records the states of the zones; empty without planners.
     pub fn note_zones(&self, zones: Vec<ZoneStatus>) {
         self.zones.replace(zones);
     }
 
-    /// How zones stand, a line for each, by preference.
+    /// The recorded states of the zones, one line each, in order of preference.
     pub fn zones(&self) -> Vec<String> {
         self.zones.borrow().iter().map(ZoneStatus::to_string).collect()
     }
 }
 
-/// What the driver holds, in one line.
+/// The sizes of the driver's tables and its use of memory and descriptors, in one line of `name=value` pairs.
 pub fn holdings(node: &Node) -> String {
     let Sizes { members, groups, requests, sessions } = node.stats.sizes.get();
     let (clients, connections) = (node.descriptors.clients.taken(), node.descriptors.members.taken());
@@ -177,30 +179,30 @@
          member_connections={connections}",
         node.ids.len()
     );
-    // Told by the system, where it does.
+    // Memory and descriptors are reported only where the system has a /proc file system.
     let resident = fs::read_to_string("/proc/self/status").ok().and_then(|status| {
         let kilobytes = status.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
         kilobytes.trim().strip_suffix(" kB").map(str::to_string)
     });
     let descriptors = fs::read_dir("/proc/self/fd").ok().map(Iterator::count);
     resident.into_iter().for_each(|kilobytes| line += &format!(" memory_kb={kilobytes}"));
-    // One of them is the look itself.
+    // Reading the directory takes one descriptor itself.
     descriptors.into_iter().for_each(|count| line += &format!(" descriptors={}", count.saturating_sub(1)));
     line
 }
 
-/// Writes both lines now and then, as long as the counters change.
+/// Logs a report at intervals, unless no counter has changed since the last one.
 pub async fn report(node: &Node) {
-    let mut last = String::new();
+    let mut last_line = String::new();
     loop {
-        Timer::after(PERIOD).await;
+        Timer::after(REPORT_INTERVAL).await;
         let line = node.stats.line();
-        if line != last {
+        if line != last_line {
             info!("counts: {line}");
             info!("holds: {}", holdings(node));
             node.meter.line().into_iter().for_each(|line| info!("spent: {line}"));
             node.stats.zones().iter().for_each(|line| info!("zones: {line}"));
-            last = line;
+            last_line = line;
         }
     }
 }
