--- a/crates/driver/src/config.rs
+++ b/crates/driver/src/config.rs
@@ -1,5 +1,5 @@
-//! What a driver is told at start: a few environment variables, a JSON file that holds the rest, and, where one is
-//! named, an operator's file.
+//! The configuration of a driver: a JSON file, a few environment variables that override it, and optionally an operator's
+//! file.
 
 use std::net::SocketAddr;
 use std::{env, fs};
@@ -14,79 +14,80 @@
 
 use crate::listing::Listing;
 
-/// With fewer descriptors no request can be served.
-const LEAST_SOCKETS: usize = 48;
+/// Least number of descriptors with which a driver can serve requests.
+const MIN_SOCKETS: usize = 48;
 
 /// The driver's configuration.
 #[derive(Debug, Deserialize)]
 pub struct Config {
-    /// Its name, the same after a restart.
+    /// Name of the driver, the same across restarts.
     pub name: String,
-    /// Where clients connect.
+    /// Address at which it listens for clients.
     pub listen: SocketAddr,
-    /// Where discovery answers.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// Seed for random numbers, in hexadecimal digits; new with each start.
-    #[serde(deserialize_with = "seed")]
+    /// Seed for random numbers, as hexadecimal digits. It should be a new one for each start.
+    #[serde(deserialize_with = "parse_seed")]
     pub seed: u64,
-    /// What the machine allows.
+    /// Limits on the driver's use of the machine.
     pub limits: Limits,
-    /// Where other drivers' datagrams come in.
+    /// Address at which it receives datagrams of other drivers.
     #[serde(default)]
     pub peer_listen: Option<SocketAddr>,
-    /// The drivers of the tier, this one included.
+    /// Addresses of all drivers of the same store, including this one.
     #[serde(default)]
     pub peers: Vec<SocketAddr>,
-    /// An address that reaches all drivers of the tier.
+    /// One address that reaches all drivers of the same store, if there is one.
     #[serde(default)]
     pub peers_all: Option<SocketAddr>,
-    /// The list of members as this driver last had it.
+    /// The membership list last known to this driver, used until discovery delivers one.
     pub known: Listing,
-    /// The settings of the decision module, and what belongs to them.
+    /// The settings of the router.
     pub settings: Site,
-    /// What the operator's file says; without one nothing is planned.
+    /// Zones and routes from the operator's file; empty without one.
     #[serde(skip)]
     pub plans: Plans,
-    /// Whether processor time is measured by kind of work, as the operator's file says.
+    /// Whether processor time is measured by kind of work, from the operator's file.
     #[serde(skip)]
     pub accounting: bool,
-    /// How this driver spreads what it learns of members, as the operator's file says; none: to all others at once.
+    /// How this driver spreads states of members, from the operator's file. `None`: each is sent to all other drivers at
+    /// once.
     #[serde(skip)]
     pub gossip: Option<GossipPolicy>,
-    /// Why the operator's file can't be used, if so: the rest of the configuration holds all the same.
+    /// The error of the operator's file, if it cannot be used. The rest of the configuration is valid all the same.
     #[serde(skip)]
     pub refused: Option<String>,
 }
 
-/// What an operator's file says to one driver.
+/// The contents of an operator's file as they apply to one driver.
 #[derive(Debug)]
-pub struct Operated {
-    /// Zones and routes.
+pub struct OperatorConfig {
+    /// The policies for zones and routes.
     pub plans: Plans,
     /// Whether processor time is measured by kind of work.
     pub accounting: bool,
-    /// How what is learnt of members is spread.
+    /// The policy for spreading states of members.
     pub gossip: Option<GossipPolicy>,
 }
 
-/// What the machine allows.
+/// Limits on the driver's use of the machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub struct Limits {
-    /// File descriptors that the driver may hold.
+    /// Number of file descriptors that the driver may have open.
     pub sockets: usize,
-    /// Megabytes of memory that it may take.
-    #[serde(default = "ample")]
+    /// Memory that it may take, in megabytes.
+    #[serde(default = "default_memory_mb")]
     pub memory_mb: usize,
 }
 
-/// Memory of a machine that names no limit.
-fn ample() -> usize {
+/// Memory limit, in megabytes, of a configuration that states none.
+fn default_memory_mb() -> usize {
     256
 }
 
 impl Config {
-    /// Reads the file that `RELAY_CONFIG` names. `RELAY_NAME`, `RELAY_LISTEN` and `RELAY_DISCOVERY` prevail over
-    /// what it says of the same.
+    /// Loads the configuration at start: the file that `RELAY_CONFIG` names, overridden by `RELAY_NAME`, `RELAY_LISTEN` and
+    /// `RELAY_DISCOVERY`, and the operator's file that `BEACONSHORE_OPERATOR` names.
     pub fn from_env() -> Result<Config, String> {
         let mut config = Config::reread()?;
         if let Some(reason) = config.refused {
@@ -96,17 +97,18 @@
         Ok(config)
     }
 
-    /// Reads that file again while the driver runs: now its `discovery` prevails, for the variable still holds what
-    /// was so at the start.
+    /// Loads the configuration again while the driver runs. The file's `discovery` now takes precedence over
+    /// `RELAY_DISCOVERY`, because the variable still holds the value from the start. An operator's file that cannot be used
+    /// is recorded in `refused`.
     pub fn reread() -> Result<Config, String> {
         let mut config = Config::named()?;
         config.name = variable("RELAY_NAME").unwrap_or(config.name);
         config.listen = address("RELAY_LISTEN")?.unwrap_or(config.listen);
         if let Some(path) = variable("BEACONSHORE_OPERATOR") {
-            match config.operated(&path) {
-                Ok(operated) => {
-                    config.plans = operated.plans;
-                    (config.accounting, config.gossip) = (operated.accounting, operated.gossip);
+            match config.load_operator_file(&path) {
+                Ok(loaded) => {
+                    config.plans = loaded.plans;
+                    (config.accounting, config.gossip) = (loaded.accounting, loaded.gossip);
                 }
                 Err(reason) => config.refused = Some(format!("operator's file {reason}")),
             }
@@ -114,28 +116,31 @@
         Ok(config)
     }
 
-    /// Reads the file that `RELAY_CONFIG` names, and no more.
+    /// Loads the file that `RELAY_CONFIG` names, without the other variables.
     pub fn named() -> Result<Config, String> {
-        let path = variable("RELAY_CONFIG").ok_or("RELAY_CONFIG names no configuration file")?;
+        let path =
+            variable("RELAY_CONFIG").ok_or("RELAY_CONFIG is not set; it must name the configuration file")?;
         let text = fs::read(&path).map_err(|e| format!("configuration {path}: {e}"))?;
         Config::parse(&text).map_err(|e| format!("configuration {path}: {e}"))
     }
 
-    fn operated(&self, path: &str) -> Result<Operated, String> {
+    /// Loads an operator's file. The error lists all its problems in one line.
+    fn load_operator_file(&self, path: &str) -> Result<OperatorConfig, String> {
         let text = fs::read_to_string(path).map_err(|e| format!("{path}: {e}"))?;
-        let lines =
-            |found: Vec<Problem>| found.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ");
-        self.operator(path, &text).map_err(lines)
+        let join_problems =
+            |problems: Vec<Problem>| problems.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ");
+        self.operator(path, &text).map_err(join_problems)
     }
 
-    /// What an operator's file says, for this driver; else everything that is wrong with it.
-    pub fn operator(&self, file: &str, text: &str) -> Result<Operated, Vec<Problem>> {
+    /// Parses an operator's file for this driver; the error holds all problems found. `file` names it in the problems.
+    pub fn operator(&self, file: &str, text: &str) -> Result<OperatorConfig, Vec<Problem>> {
         let operator = parse(file, text).map_err(|e| vec![e])?;
         let (settings, dialect) = (&self.settings.settings, &self.settings.dialect);
         let mut plans = Plans { classes: dialect.classes.clone(), ..Plans::default() };
         let mut problems = Vec::new();
         if let Some(zones) = &operator.zones {
-            // Drivers are numbered as in the list of peers; one that is not in it, or may not loan, lends nothing.
+            // Drivers are numbered by their position in the list of peers. One that is not in the list, or may not exchange
+            // messages with peers, has no number and lends nothing.
             let number = self.peers.iter().position(|peer| Some(*peer) == self.peer_listen);
             let number = number.filter(|_| settings.limits.peer_messages).map(|n| n as u32);
             match beaconshore_operator::zones(file, text, zones, &dialect.zones) {
@@ -161,13 +166,13 @@
             None
         });
         if problems.is_empty() {
-            Ok(Operated { plans, accounting: operator.accounting.unwrap_or(false), gossip })
+            Ok(OperatorConfig { plans, accounting: operator.accounting.unwrap_or(false), gossip })
         } else {
             Err(problems)
         }
     }
 
-    /// What another configuration changes that only a new start brings about.
+    /// Names the parts in which another configuration differs and that only a restart can change.
     pub fn needs_restart(&self, other: &Config) -> Vec<&'static str> {
         let peers = |c: &Config| (c.peer_listen, c.peers.clone(), c.peers_all);
         let changes = [
@@ -183,32 +188,38 @@
         changes.into_iter().filter(|(_, changed)| *changed).map(|(name, _)| name).collect()
     }
 
-    /// Reads a configuration from its JSON text.
+    /// Parses and checks a configuration file.
     pub fn parse(text: &[u8]) -> Result<Config, String> {
         let config: Config = serde_json::from_slice(text).map_err(|e| e.to_string())?;
         let dialect = &config.settings.dialect;
         if dialect.connect_timeout == 0 || dialect.conn_idle == 0 {
-            return Err("settings.limits.connectTimeoutUs and connIdleUs are needed".into());
+            return Err(
+                "settings.limits.connectTimeoutUs and connIdleUs must be set and greater than 0".into()
+            );
         }
-        if config.limits.sockets < LEAST_SOCKETS {
-            return Err(format!("limits.sockets is {}, under {LEAST_SOCKETS}", config.limits.sockets));
+        if config.limits.sockets < MIN_SOCKETS {
+            return Err(format!(
+                "limits.sockets is {}, must be at least {MIN_SOCKETS}",
+                config.limits.sockets
+            ));
         }
         Ok(config)
     }
 }
 
-/// An environment variable that is set to something.
+/// The value of an environment variable; `None` if it is unset or empty.
 fn variable(name: &str) -> Option<String> {
     env::var(name).ok().filter(|value| !value.is_empty())
 }
 
-/// An address that an environment variable holds.
+/// The address in an environment variable, if it is set.
 fn address(name: &str) -> Result<Option<SocketAddr>, String> {
     let parse = |value: String| value.parse().map_err(|e| format!("{name} is {value:?}: {e}"));
     variable(name).map(parse).transpose()
 }
 
-fn seed<'de, D: serde::Deserializer<'de>>(text: D) -> Result<u64, D::Error> {
+/// Deserializes the seed from hexadecimal digits.
+fn parse_seed<'de, D: serde::Deserializer<'de>>(text: D) -> Result<u64, D::Error> {
     let digits = String::deserialize(text)?;
     u64::from_str_radix(&digits, 16).map_err(serde::de::Error::custom)
 }
--- a/crates/driver/src/listing.rs
+++ b/crates/driver/src/listing.rs
@@ -1,65 +1,69 @@
-//! The list of members in discovery's words.
+//! The membership list in the JSON format of discovery.
 
 use std::net::SocketAddr;
 
 use log::warn;
 use serde::{Deserialize, Deserializer};
 
-/// A whole list, or the changes since another one.
+/// A full membership list, or the changes since an earlier version.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Listing {
-    /// Its version.
+    /// Version of the list.
     pub generation: u64,
-    /// Whether it is whole.
+    /// Whether this is the full list.
     pub reset: bool,
-    /// Its entries. One that can't be read is passed over: the others still count.
-    #[serde(deserialize_with = "readable")]
+    /// The entries. One that cannot be parsed is logged and skipped; the others are used.
+    #[serde(deserialize_with = "parseable_entries")]
     pub instances: Vec<Instance>,
 }
 
-/// A member in the list.
+/// An entry of the membership list: one member.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Instance {
-    /// What all drivers call it, across restarts and changes of address.
+    /// Name of the member, the same for all drivers and across restarts and changes of address.
     pub instance_id: String,
-    /// Where it listens.
+    /// Address at which it listens.
     pub host_port: SocketAddr,
-    /// Its zone, by name.
+    /// Name of its zone.
     pub zone: String,
-    /// Its group.
+    /// Number of its group.
     pub cell: u32,
-    /// Its state.
+    /// Its state of service.
     pub lifecycle: Lifecycle,
-    /// Unix time of its last start in milliseconds; 0 for long ago.
+    /// Unix time of its last start in milliseconds; 0 if it started long ago.
     #[serde(default)]
     pub started_at_ms: u64,
-    /// Its part in the group, where the list shows it.
+    /// Its role in the group, [`LEADER`] or [`FOLLOWER`], if the list contains it.
     #[serde(default)]
     pub role: Option<String>,
 }
 
-/// The state of a member in the list.
+/// State of service of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Lifecycle {
     /// In service.
     Ready,
-    /// Removed.
+    /// Removed from the store.
     Gone,
-    /// Finishes what it has, wants nothing new; a state that is not known binds no less.
+    /// Finishes its open requests and takes no new ones. An unknown state is treated the same way.
     #[serde(other)]
     Draining,
 }
 
-/// What the list, an answer and a report call a primary.
+/// Name of a primary in lists, answers and load reports.
 pub const LEADER: &str = "leader";
-/// What the list, an answer and a report call a replica.
+/// Name of a replica in lists, answers and load reports.
 pub const FOLLOWER: &str = "follower";
 
-fn readable<'de, D: Deserializer<'de>>(list: D) -> Result<Vec<Instance>, D::Error> {
+/// Deserializes the entries that can be parsed.
+fn parseable_entries<'de, D: Deserializer<'de>>(list: D) -> Result<Vec<Instance>, D::Error> {
     let entries = Vec::<serde_json::Value>::deserialize(list)?;
-    let read =
-        |entry| serde_json::from_value(entry).inspect_err(|e| warn!("a list entry can't be read: {e}")).ok();
-    Ok(entries.into_iter().filter_map(read).collect())
+    let parse = |entry| {
+        serde_json::from_value(entry)
+            .inspect_err(|e| warn!("skipped an entry of the membership list that can't be parsed: {e}"))
+            .ok()
+    };
+    Ok(entries.into_iter().filter_map(parse).collect())
 }
--- a/crates/driver/src/signals.rs
+++ b/crates/driver/src/signals.rs
@@ -1,5 +1,5 @@
-//! What the system asks of the program: to end, or to read its configuration again. Only programs need this; who
-//! embeds the driver has other ways to tell it.
+//! Signals of the operating system: to stop the program, or to reload its configuration. Only the program uses this module;
+//! code that embeds the driver passes its own futures to `run`.
 
 use std::future::Future;
 
@@ -9,12 +9,12 @@
 
 use crate::config::Config;
 
-/// Where this is set, the process ends with the one that started it.
-const WITH_PARENT: &str = "BEACONSHORE_ENDS_WITH_PARENT";
+/// Environment variable that makes the process end together with its parent, if set to a non-empty value.
+const ENDS_WITH_PARENT: &str = "BEACONSHORE_ENDS_WITH_PARENT";
 
-/// Ready once the process is asked to end. Signals are caught from this call on.
+/// Completes when the process receives SIGTERM or SIGINT. The signals are handled from the call of this function on.
 pub fn stop() -> impl Future<Output = ()> {
-    let signals = caught(&[Signal::Term, Signal::Int]);
+    let signals = handle(&[Signal::Term, Signal::Int]);
     async move {
         match signals {
             Some(mut signals) => drop(signals.next().await),
@@ -23,25 +23,32 @@
     }
 }
 
-/// The configuration, each time that the process is asked to read it again (SIGHUP). One that can't be used is
-/// told in the log and passed over. Signals are caught from this call on.
+/// Yields the reloaded configuration each time that the process receives SIGHUP. A configuration that cannot be used is
+/// logged and skipped. The signal is handled from the call of this function on.
 pub fn reloads() -> impl Stream<Item = Config> {
-    let signals = caught(&[Signal::Hup]).into_iter();
+    let signals = handle(&[Signal::Hup]).into_iter();
     stream::iter(signals).flatten().filter_map(|_| {
-        let tell = |message: &String| warn!("the configuration stays as it was: {message}");
-        Config::reread().inspect_err(tell).ok()
+        let log_error = |message: &String| {
+            warn!("the configuration stays as it was, correct the file and send SIGHUP again: {message}")
+        };
+        Config::reread().inspect_err(log_error).ok()
     })
 }
 
-fn caught(signals: &[Signal]) -> Option<Signals> {
-    Signals::new(signals).inspect_err(|e| warn!("signals can't be received: {e}")).ok()
+/// Installs handlers for signals; `None` and a warning if that fails.
+fn handle(signals: &[Signal]) -> Option<Signals> {
+    Signals::new(signals)
+        .inspect_err(|e| {
+            warn!("installing signal handlers failed, SIGTERM, SIGINT or SIGHUP will not be handled: {e}")
+        })
+        .ok()
 }
 
-/// Has the kernel end this process with the one that started it, where `BEACONSHORE_ENDS_WITH_PARENT` is set: a rig that
-/// dies by itself is to leave nothing behind. On the platform nobody sets it.
+/// Has the kernel kill this process when its parent dies, if `BEACONSHORE_ENDS_WITH_PARENT` is set. Test programs set it so
+/// that they leave no processes behind if they crash; in production it is not set.
 pub fn end_with_parent() {
-    if std::env::var_os(WITH_PARENT).is_some_and(|value| !value.is_empty()) {
-        // Where the system knows no such signal the process just stays.
+    if std::env::var_os(ENDS_WITH_PARENT).is_some_and(|value| !value.is_empty()) {
+        // On systems without this feature the process keeps running.
         let _ = rustix::process::set_parent_process_death_signal(Some(rustix::process::Signal::KILL));
     }
 }
