--- a/crates/driver/src/cli/diff.rs
+++ b/crates/driver/src/cli/diff.rs
@@ -1,4 +1,4 @@
-//! `beaconshore diff`: what a reload would change.
+//! `beaconshore diff`: shows what a reload from one operator's file to another would change.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -6,11 +6,12 @@
 use beaconshore_routes::Route;
 use beaconshore_steering::Plans;
 
-use super::{configuration, plans};
+use super::{load_configuration, load_plans};
 
+/// Runs the command.
 pub fn run(old: &Path, new: &Path, config: Option<&Path>) -> Result<ExitCode, String> {
-    let config = configuration(config)?;
-    let (old, new) = (plans(&config, old)?, plans(&config, new)?);
+    let config = load_configuration(config)?;
+    let (old, new) = (load_plans(&config, old)?, load_plans(&config, new)?);
     let lines = changes(&old, &new);
     lines.iter().for_each(|line| println!("{line}"));
     if lines.is_empty() {
@@ -19,53 +20,58 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// A line for each change, by what it does.
+/// The changes between two files, one line each: `-` for a removed route, `+` for an added one, `~` for a changed one.
 fn changes(old: &Plans, new: &Plans) -> Vec<String> {
     let mut lines = Vec::new();
     if old.zones != new.zones {
-        lines.push("zones: changed; needs a new start".to_owned());
+        lines.push("zones: changed; takes effect only after a restart".to_owned());
     }
-    let routes = |plans: &Plans| plans.routes.clone().unwrap_or_default();
-    let (before, after) = (routes(old), routes(new));
+    let routes_of = |plans: &Plans| plans.routes.clone().unwrap_or_default();
+    let (before, after) = (routes_of(old), routes_of(new));
     if before.open != after.open {
-        lines.push(format!("routes.open: {:?} becomes {:?}; places in use go on", before.open, after.open));
+        lines.push(format!(
+            "routes.open: {:?} becomes {:?}; requests that are already open stay open",
+            before.open, after.open
+        ));
     }
-    let named = |routes: &[Route], name: &str| routes.iter().position(|r| r.name == name);
-    for route in before.routes.iter().filter(|r| named(&after.routes, &r.name).is_none()) {
+    let index_of = |routes: &[Route], name: &str| routes.iter().position(|r| r.name == name);
+    for route in before.routes.iter().filter(|r| index_of(&after.routes, &r.name).is_none()) {
         lines.push(format!("- {:?}: gone; its open requests keep what they were told", route.name));
     }
-    for (i, route) in after.routes.iter().enumerate() {
-        let Some(was) = named(&before.routes, &route.name) else {
+    for (index, route) in after.routes.iter().enumerate() {
+        let Some(old_index) = index_of(&before.routes, &route.name) else {
             lines.push(format!("+ {:?}: {}", route.name, route.matches));
             continue;
         };
-        let had = &before.routes[was];
-        if had != route {
-            lines.push(format!("~ {:?}: {}", route.name, differences(had, route).join(", ")));
+        let old_route = &before.routes[old_index];
+        if old_route != route {
+            lines.push(format!("~ {:?}: {}", route.name, differences(old_route, route).join(", ")));
         }
-        // Whether any route that both have stands on the other side now.
-        let swapped =
-            after.routes[..i].iter().any(|r| named(&before.routes, &r.name).is_some_and(|n| n > was));
-        if swapped {
-            lines.push(format!("~ {:?}: stands behind others that it stood before", route.name));
+        // Whether any route of both files that used to come after this one now comes before it.
+        let moved_back = after.routes[..index]
+            .iter()
+            .any(|r| index_of(&before.routes, &r.name).is_some_and(|n| n > old_index));
+        if moved_back {
+            lines.push(format!("~ {:?}: now comes after routes that it came before", route.name));
         }
     }
     lines
 }
 
+/// The names of the fields that differ, with the effect of the change where there is one.
 fn differences(a: &Route, b: &Route) -> Vec<String> {
-    let parts: [(&str, bool, &str); 11] = [
+    let fields: [(&str, bool, &str); 11] = [
         ("match", a.matches != b.matches, ""),
         ("budget", a.budget != b.budget, ""),
         ("attempt", a.attempt != b.attempt, ""),
         ("attempts", a.attempts != b.attempts, ""),
         ("pause", a.pause != b.pause, ""),
-        ("repeats", a.repeats != b.repeats, " (its budget starts anew)"),
-        ("rate", a.rate != b.rate, " (its limit starts anew)"),
-        ("open", a.open != b.open, " (its limit is learnt anew)"),
+        ("repeats", a.repeats != b.repeats, " (its budget is reset)"),
+        ("rate", a.rate != b.rate, " (its limit is reset)"),
+        ("open", a.open != b.open, " (its limit is learned again)"),
         ("weight", a.weight != b.weight, ""),
         ("staleness", a.staleness != b.staleness, ""),
         ("zones", a.zones != b.zones, ""),
     ];
-    parts.into_iter().filter(|p| p.1).map(|(name, _, note)| format!("{name}{note}")).collect()
+    fields.into_iter().filter(|p| p.1).map(|(name, _, note)| format!("{name}{note}")).collect()
 }
--- a/crates/driver/src/cli/explain.rs
+++ b/crates/driver/src/cli/explain.rs
@@ -1,4 +1,5 @@
-//! `beaconshore explain`: the route of a request, why no earlier one, and the worst that may come of it.
+//! `beaconshore explain`: shows which route a request takes, why no earlier route matches it, and the latest times of its
+//! attempts.
 
 use std::net::IpAddr;
 use std::path::PathBuf;
@@ -9,73 +10,78 @@
 use beaconshore_routes::Route;
 use clap::Args;
 
-use super::{configuration, plans};
+use super::{load_configuration, load_plans};
 
-/// A request as it is described, and the file that it is held against.
+/// The request to explain, and the operator's file to explain it by.
 #[derive(Debug, Args)]
-pub struct Question {
+pub struct ExplainArguments {
     /// The operator's file; may be left out with --defaults.
     #[arg(required_unless_present = "defaults")]
     file: Option<PathBuf>,
-    /// The configuration that it is for; RELAY_CONFIG if not given.
+    /// The configuration that the file is for; the one that RELAY_CONFIG names if not given.
     #[arg(short, long)]
     config: Option<PathBuf>,
-    /// Shows every field of an operator's file with its default instead.
+    /// Prints every field of an operator's file with its default instead.
     #[arg(long)]
     defaults: bool,
-    /// The request's class.
+    /// Class of the request.
     #[arg(long, default_value = "")]
     class: String,
-    /// The group that it names.
+    /// Group of the request.
     #[arg(long, default_value_t = 0)]
     group: u32,
-    /// It carries a key.
+    /// The request carries a key.
     #[arg(long)]
     key: bool,
-    /// It belongs to a session.
+    /// The request belongs to a session.
     #[arg(long)]
     session: bool,
-    /// Its client asked before.
+    /// The request is a repeat by its client.
     #[arg(long)]
     repeat: bool,
-    /// Its client's address.
+    /// Address of the client.
     #[arg(long)]
     client: Option<IpAddr>,
-    /// Its connection's user.
+    /// User of the connection.
     #[arg(long, default_value = "")]
     user: String,
-    /// Its connection's database.
+    /// Database of the connection.
     #[arg(long, default_value = "")]
     database: String,
-    /// Its statement.
+    /// Statement of the request.
     #[arg(long, default_value = "")]
     statement: String,
 }
 
-pub fn run(question: &Question) -> Result<ExitCode, String> {
-    if question.defaults {
-        // The schema states every default, once.
+/// Runs the command.
+pub fn run(arguments: &ExplainArguments) -> Result<ExitCode, String> {
+    if arguments.defaults {
+        // The schema states every default, and is the only place that does.
         print!("{}", include_str!("../../../../proto/operator.proto"));
         return Ok(ExitCode::SUCCESS);
     }
-    let Some(path) = &question.file else { return Err("an operator's file is needed".into()) };
-    let config = configuration(question.config.as_deref())?;
-    let plans = plans(&config, path)?;
+    let Some(path) = &arguments.file else { return Err("an operator's file is required".into()) };
+    let config = load_configuration(arguments.config.as_deref())?;
+    let plans = load_plans(&config, path)?;
     let settings = &config.settings.settings;
-    let class = plans.classes.iter().position(|name| *name == question.class);
+    let class = plans.classes.iter().position(|name| *name == arguments.class);
     let Some(class) = class else {
-        return Err(format!("no class {:?}; there are {}", question.class, plans.classes.join(", ")));
+        return Err(format!(
+            "unknown class {:?}; the configuration has {}",
+            arguments.class,
+            plans.classes.join(", ")
+        ));
     };
     let facts = Facts {
-        class: &question.class,
-        group: question.group,
-        key: question.key,
-        session: question.session,
-        repeat: question.repeat,
-        client: question.client,
-        user: &question.user,
-        database: &question.database,
-        statement: &question.statement,
+        class: &arguments.class,
+        group: arguments.group,
+        key: arguments.key,
+        session: arguments.session,
+        repeat: arguments.repeat,
+        client: arguments.client,
+        user: &arguments.user,
+        database: &arguments.database,
+        statement: &arguments.statement,
     };
     for route in &plans.routes.unwrap_or_default().routes {
         if route.matches.holds(&facts) {
@@ -85,34 +91,37 @@
         }
         println!("not {:?}: {}", route.name, route.matches.failing(&facts).join("; "));
     }
-    println!("takes no route: it is not narrowed");
+    println!("takes no route: no limits apply beyond those of its class");
     Ok(ExitCode::SUCCESS)
 }
 
-/// The latest at which each attempt may begin and end, if all before it take as long as they may.
+/// The latest times at which each attempt may begin and end, if all attempts before it take as long as they are allowed.
 fn timeline(route: &Route, settings: &Settings, class: usize) -> Vec<String> {
-    let ms = |t: Micros| t / 1000;
+    let ms = |time: Micros| time / 1000;
     let deadline = settings.classes.get(class).map_or(0, |c| c.deadline);
-    let ends = route.budget.map_or(deadline, |budget| budget.min(deadline));
+    let request_end = route.budget.map_or(deadline, |budget| budget.min(deadline));
     let attempts = route.attempts.unwrap_or(settings.limits.max_attempts).min(settings.limits.max_attempts);
     let mut lines = Vec::new();
-    let mut begins = 0;
-    for n in 1..=attempts {
-        if begins >= ends {
-            lines.push(format!("attempt {n} would begin after its end: it is not sent"));
+    let mut latest_begin = 0;
+    for number in 1..=attempts {
+        if latest_begin >= request_end {
+            lines.push(format!(
+                "attempt {number} would begin after the request's time is over: it is not sent"
+            ));
             break;
         }
-        let over = route.attempt.map_or(ends, |attempt| ends.min(begins + attempt));
+        let attempt_end =
+            route.attempt.map_or(request_end, |attempt| request_end.min(latest_begin + attempt));
         lines.push(format!(
-            "attempt {n}: begins at {} ms at the latest, ends at {} ms",
-            ms(begins),
-            ms(over)
+            "attempt {number}: begins at {} ms at the latest, ends at {} ms",
+            ms(latest_begin),
+            ms(attempt_end)
         ));
-        if over == ends {
+        if attempt_end == request_end {
             break;
         }
-        begins = over + route.pause.map_or(0, |p| p.most);
+        latest_begin = attempt_end + route.pause.map_or(0, |p| p.most);
     }
-    lines.push(format!("answered by {} ms", ms(ends)));
+    lines.push(format!("answered by {} ms", ms(request_end)));
     lines
 }
--- a/crates/driver/src/cli/mod.rs
+++ b/crates/driver/src/cli/mod.rs
@@ -1,6 +1,6 @@
-//! The command line: serving, and all that can be asked of an operator's file before it is in force.
+//! The command line: serving, and commands that check, explain and compare operator's files before they are put in force.
 //!
-//! Owns arguments, output and exit codes; what is right or wrong with a file is decided where it is read.
+//! Handles arguments, output and exit codes. The files themselves are parsed and checked by [`Config::operator`].
 
 mod check;
 mod diff;
@@ -29,68 +29,68 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Serves until SIGTERM; what no command does too.
+    /// Serves until SIGTERM; the default without a command.
     Serve,
-    /// Reads operator's files and says everything that is wrong with them.
+    /// Checks operator's files and lists every problem found.
     ///
-    /// Exit codes: 0 nothing, 1 findings, 2 a file or the configuration can't be read.
+    /// Exit codes: 0 no problems, 1 problems found, 2 a file or the configuration can't be read.
     Check {
-        /// Operator's files.
+        /// Operator's files to check.
         #[arg(required = true)]
         files: Vec<PathBuf>,
-        /// The configuration whose classes and zones they are for; RELAY_CONFIG if not given.
+        /// The configuration whose classes and zones the files refer to; the one that RELAY_CONFIG names if not given.
         #[arg(short, long)]
         config: Option<PathBuf>,
-        /// How findings are told.
+        /// Output format of the problems.
         #[arg(short, long, value_enum, default_value_t = Format::Text)]
         format: Format,
     },
     /// Says which route a request would take, why no earlier one, and how its attempts may go at worst.
-    Explain(explain::Question),
+    Explain(explain::ExplainArguments),
     /// Says what a reload from one operator's file to another would change.
     Diff {
-        /// The file in force.
+        /// The operator's file in force.
         old: PathBuf,
-        /// The file to come.
+        /// The operator's file that is to replace it.
         new: PathBuf,
-        /// The configuration that they are for; RELAY_CONFIG if not given.
+        /// The configuration that both files are for; the one that RELAY_CONFIG names if not given.
         #[arg(short, long)]
         config: Option<PathBuf>,
     },
-    /// Writes a script by which a shell completes arguments.
+    /// Prints a completion script for a shell.
     Completions {
-        /// For which shell.
+        /// The shell.
         shell: Shell,
     },
 }
 
-/// How findings are told.
+/// Output format of problems.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Format {
-    /// A line each.
+    /// One line for each problem.
     Text,
-    /// A JSON list.
+    /// One JSON array of all problems.
     Json,
 }
 
-/// What the program's main has to do.
-pub enum Todo {
-    /// Serve.
+/// What the program has to do after the command line was handled.
+pub enum NextStep {
+    /// Serve as a router.
     Serve,
-    /// Nothing more: end so.
-    End(ExitCode),
+    /// Exit with this code.
+    Exit(ExitCode),
 }
 
-/// Input that can't be read at all.
-const UNUSABLE: u8 = 2;
+/// Exit code if a file or the configuration can't be read.
+const UNREADABLE_INPUT: u8 = 2;
 
 impl Arguments {
-    /// Does what was asked, but for serving.
-    pub fn run(self) -> Todo {
-        let done = match self.command {
-            None | Some(Command::Serve) => return Todo::Serve,
+    /// Runs the command, except for serving, which is left to the caller.
+    pub fn run(self) -> NextStep {
+        let result = match self.command {
+            None | Some(Command::Serve) => return NextStep::Serve,
             Some(Command::Check { files, config, format }) => check::run(&files, config.as_deref(), format),
-            Some(Command::Explain(question)) => explain::run(&question),
+            Some(Command::Explain(arguments)) => explain::run(&arguments),
             Some(Command::Diff { old, new, config }) => diff::run(&old, &new, config.as_deref()),
             Some(Command::Completions { shell }) => {
                 clap_complete::generate(
@@ -102,30 +102,32 @@
                 Ok(ExitCode::SUCCESS)
             }
         };
-        Todo::End(done.unwrap_or_else(|reason| {
+        NextStep::Exit(result.unwrap_or_else(|reason| {
             eprintln!("beaconshore: {reason}");
-            ExitCode::from(UNUSABLE)
+            ExitCode::from(UNREADABLE_INPUT)
         }))
     }
 }
 
-/// The configuration that operator's files are held against.
-fn configuration(path: Option<&Path>) -> Result<Config, String> {
+/// Loads the configuration that operator's files are checked against: the file at `path`, or the one that `RELAY_CONFIG`
+/// names.
+fn load_configuration(path: Option<&Path>) -> Result<Config, String> {
     let Some(path) = path else { return Config::named() };
     let text = fs::read(path).map_err(|e| format!("configuration {}: {e}", path.display()))?;
     Config::parse(&text).map_err(|e| format!("configuration {}: {e}", path.display()))
 }
 
-fn text_of(path: &Path) -> Result<String, String> {
+/// Reads a text file.
+fn read_text(path: &Path) -> Result<String, String> {
     fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))
 }
 
-/// What an operator's file says; else all that is wrong with it, a line each.
-fn plans(config: &Config, path: &Path) -> Result<Plans, String> {
+/// Loads the policies of an operator's file. The error lists all its problems, one per line.
+fn load_plans(config: &Config, path: &Path) -> Result<Plans, String> {
     let file = path.display().to_string();
-    let operated = config.operator(&file, &text_of(path)?);
-    operated.map(|operated| operated.plans).map_err(|found| {
-        let lines: Vec<String> = found.iter().map(ToString::to_string).collect();
+    let loaded = config.operator(&file, &read_text(path)?);
+    loaded.map(|loaded| loaded.plans).map_err(|problems| {
+        let lines: Vec<String> = problems.iter().map(ToString::to_string).collect();
         lines.join("\n")
     })
 }
--- a/crates/driver/src/main.rs
+++ b/crates/driver/src/main.rs
@@ -2,15 +2,15 @@
 
 use std::process::ExitCode;
 
-use beaconshore_driver::cli::{Arguments, Todo};
+use beaconshore_driver::cli::{Arguments, NextStep};
 use beaconshore_driver::{run, signals, Config};
 use clap::Parser;
 use env_logger::Env;
 
 fn main() -> ExitCode {
     match Arguments::parse().run() {
-        Todo::End(code) => return code,
-        Todo::Serve => {}
+        NextStep::Exit(code) => return code,
+        NextStep::Serve => {}
     }
     env_logger::Builder::from_env(Env::default().default_filter_or("info")).init();
     signals::end_with_parent();
