--- a/crates/benchlink/src/frame.rs
+++ b/crates/benchlink/src/frame.rs
@@ -1,25 +1,25 @@
-//! Reading and writing of the wire's binary frames, with every length checked.
+//! Decoding and encoding of the binary frames of the simulator's protocol. Every length is checked.
 
-/// A cursor over bytes that never reads past their end.
+/// A cursor over a byte slice that never reads past its end.
 pub struct Reader<'a> {
     bytes: &'a [u8],
-    at: usize,
+    position: usize,
 }
 
 macro_rules! number {
     ($name:ident, $type:ty) => {
-        /// The next number, little-endian.
+        /// Reads the next number, in little-endian order.
         pub fn $name(&mut self) -> Result<$type, String> {
-            let raw = self.take(std::mem::size_of::<$type>())?;
-            raw.try_into().map(<$type>::from_le_bytes).map_err(|_| "number cut short".to_string())
+            let bytes = self.take(std::mem::size_of::<$type>())?;
+            bytes.try_into().map(<$type>::from_le_bytes).map_err(|_| "a number is incomplete".to_string())
         }
     };
 }
 
 impl<'a> Reader<'a> {
-    /// A reader at the start of these bytes.
+    /// Creates a reader at the start of a slice.
     pub fn new(bytes: &'a [u8]) -> Self {
-        Reader { bytes, at: 0 }
+        Reader { bytes, position: 0 }
     }
 
     number!(u8, u8);
@@ -28,74 +28,79 @@
     number!(u64, u64);
     number!(f32, f32);
 
-    /// The next `count` bytes.
+    /// Reads the next `count` bytes.
     pub fn take(&mut self, count: usize) -> Result<&'a [u8], String> {
-        let end = self.at.checked_add(count).filter(|&end| end <= self.bytes.len()).ok_or_else(|| {
-            format!("{count} bytes wanted at byte {}, {} are left", self.at, self.bytes.len() - self.at)
-        })?;
-        let taken = &self.bytes[self.at..end];
-        self.at = end;
+        let end =
+            self.position.checked_add(count).filter(|&end| end <= self.bytes.len()).ok_or_else(|| {
+                format!(
+                    "{count} bytes expected at byte {}, but only {} are left",
+                    self.position,
+                    self.bytes.len() - self.position
+                )
+            })?;
+        let taken = &self.bytes[self.position..end];
+        self.position = end;
         Ok(taken)
     }
 
-    /// Bytes not read yet.
+    /// Number of bytes not read yet.
     pub fn left(&self) -> usize {
-        self.bytes.len() - self.at
+        self.bytes.len() - self.position
     }
 
-    /// Fails unless everything has been read.
+    /// Returns an error unless all bytes have been read.
     pub fn finish(&self) -> Result<(), String> {
         match self.left() {
             0 => Ok(()),
-            left => Err(format!("{left} bytes too many")),
+            remaining => Err(format!("{remaining} bytes too many")),
         }
     }
 }
 
-/// Size of a batch header.
-pub const HEADER: usize = 16;
+/// Length of a batch header, in bytes.
+pub const HEADER_BYTES: usize = 16;
 
 /// A batch header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Header {
-    /// Number of the batch.
+    /// Number of the batch, repeated in the reply.
     pub batch: u32,
-    /// Length of the whole frame.
+    /// Length of the whole frame with its header, in bytes.
     pub length: u32,
-    /// The clock.
+    /// Time of the simulator's clock, in microseconds.
     pub clock: u64,
 }
 
-/// Reads a batch header.
-pub fn header(bytes: &[u8]) -> Result<Header, String> {
-    let mut r = Reader::new(bytes);
-    let header = Header { batch: r.u32()?, length: r.u32()?, clock: r.u64()? };
-    if (header.length as usize) < HEADER {
+/// Decodes a batch header.
+pub fn decode_header(bytes: &[u8]) -> Result<Header, String> {
+    let mut reader = Reader::new(bytes);
+    let header = Header { batch: reader.u32()?, length: reader.u32()?, clock: reader.u64()? };
+    if (header.length as usize) < HEADER_BYTES {
         return Err(format!(
-            "batch {}: length {} is under the header's {HEADER}",
+            "batch {}: length {} is less than the {HEADER_BYTES} bytes of the header",
             header.batch, header.length
         ));
     }
     Ok(header)
 }
 
-/// A reply that is being written.
+/// A reply to a batch that is being encoded.
 pub struct Reply {
     bytes: Vec<u8>,
     count: u32,
 }
 
 impl Reply {
-    /// An empty reply to a batch.
+    /// Creates an empty reply to a batch.
     pub fn new(batch: u32) -> Self {
         let mut bytes = batch.to_le_bytes().to_vec();
         bytes.extend_from_slice(&[0; 8]);
         Reply { bytes, count: 0 }
     }
 
-    /// Adds a record: its code, then its fields one after the other.
+    /// Appends a record: its code, the length of its fields, then the fields in order.
     pub fn record(&mut self, code: u8, fields: &[&[u8]]) {
-        let length: usize = fields.iter().map(|f| f.len()).sum();
+        let length: usize = fields.iter().map(|field| field.len()).sum();
         self.bytes.push(code);
         self.bytes.extend_from_slice(&(length as u32).to_le_bytes());
         for field in fields {
@@ -104,7 +109,7 @@
         self.count += 1;
     }
 
-    /// The finished frame.
+    /// Returns the complete frame.
     pub fn finish(mut self) -> Vec<u8> {
         let length = self.bytes.len() as u32;
         self.bytes[4..8].copy_from_slice(&length.to_le_bytes());
--- a/crates/benchlink/src/host.rs
+++ b/crates/benchlink/src/host.rs
@@ -1,4 +1,4 @@
-//! Hosts the module's instances: batches of events in, replies with their actions out.
+//! Runs the instances of the decision module: decodes batches of events, and encodes the resulting actions as replies.
 
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -12,6 +12,7 @@
 
 use crate::frame::{Header, Reader, Reply};
 
+/// Codes of the records in batches (below 64) and in replies.
 mod code {
     pub const SPAWN: u8 = 1;
     pub const MEMBERSHIP: u8 = 2;
@@ -36,22 +37,23 @@
     pub const FOLLOW: u8 = 75;
 }
 
-/// Flag of a request that its client has sent before.
-const CLIENT_REPEAT: u8 = 2;
-/// Numbers of the member tables that a process can hold.
-const TABLES: u8 = 16;
+/// Bit of a request's flags that is set if its client has sent the request before.
+const REPEAT_FLAG: u8 = 2;
+/// Number of member tables that a process can hold; tables are numbered from 0.
+const TABLE_COUNT: u8 = 16;
 
-/// Words of 8 bytes that a message of 256 holds.
-const MESSAGE_WORDS: usize = 32;
-/// The address of all other instances.
+/// Number of member updates, of 8 bytes each, in a message between routers, which is limited to 256 bytes.
+const MAX_UPDATES_PER_MESSAGE: usize = 32;
+/// Destination of a message to all other instances.
 const ALL_PEERS: u16 = u16::MAX;
 
+/// One simulated driver: its decision module, and the settings to translate events and actions.
 struct Instance {
     router: Router,
     dialect: Dialect,
 }
 
-/// All instances of this process, and the member tables that they share by the wire's rules.
+/// All instances of this process, and the member tables that they share, as the protocol defines.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u32, Instance>,
@@ -59,36 +61,43 @@
 }
 
 impl Host {
-    /// Handles one batch (its bytes after the header) and writes the reply.
+    /// Handles the records of one batch in order, and returns the encoded reply. `body` holds the bytes after the header.
     pub fn batch(&mut self, header: Header, body: &[u8]) -> Result<Vec<u8>, String> {
         let mut reply = Reply::new(header.batch);
         let mut records = Reader::new(body);
         let mut number = 0;
         while records.left() > 0 {
             number += 1;
-            let at = |e: String| format!("batch {}, record {number}: {e}", header.batch);
-            let code = records.u8().map_err(at)?;
-            let length = records.u32().map_err(at)? as usize;
-            let mut fields = Reader::new(records.take(length).map_err(at)?);
-            self.record(header.clock, code, &mut fields, &mut reply)
+            let locate = |e: String| format!("batch {}, record {number}: {e}", header.batch);
+            let code = records.u8().map_err(locate)?;
+            let length = records.u32().map_err(locate)? as usize;
+            let mut fields = Reader::new(records.take(length).map_err(locate)?);
+            self.handle_record(header.clock, code, &mut fields, &mut reply)
                 .and_then(|()| fields.finish())
-                .map_err(|e| at(format!("code {code}: {e}")))?;
+                .map_err(|e| locate(format!("code {code}: {e}")))?;
         }
         Ok(reply.finish())
     }
 
-    fn record(&mut self, now: u64, code: u8, r: &mut Reader, reply: &mut Reply) -> Result<(), String> {
+    /// Handles one record. A panic of the decision module ends up as a record in the reply.
+    fn handle_record(
+        &mut self,
+        now: u64,
+        code: u8,
+        reader: &mut Reader,
+        reply: &mut Reply,
+    ) -> Result<(), String> {
         if code == code::CATALOG {
-            let (table, entries) = catalog(r)?;
+            let (table, entries) = decode_table(reader)?;
             self.tables.insert(table, entries);
             return Ok(());
         }
-        let driver = r.u32()?;
+        let driver = reader.u32()?;
         match code {
             code::SPAWN => {
-                let seed = r.u64()?;
-                let length = r.u32()? as usize;
-                let Site { settings, dialect } = Site::parse(r.take(length)?)?;
+                let seed = reader.u64()?;
+                let length = reader.u32()? as usize;
+                let Site { settings, dialect } = Site::parse(reader.take(length)?)?;
                 self.instances.insert(driver, Instance { router: Router::new(settings, seed, now), dialect });
                 return Ok(());
             }
@@ -100,16 +109,18 @@
         }
         let instance =
             self.instances.get_mut(&driver).ok_or_else(|| format!("instance {driver} is not running"))?;
-        let Some(event) = event(code, r, &self.tables, &instance.dialect)? else { return Ok(()) };
-        let handled = catch_unwind(AssertUnwindSafe(|| {
+        let Some(event) = decode_event(code, reader, &self.tables, &instance.dialect)? else { return Ok(()) };
+        let result = catch_unwind(AssertUnwindSafe(|| {
             let mut actions = Vec::new();
             instance.router.handle(now, &event, &mut actions);
             actions
         }));
-        match handled {
-            Ok(actions) => actions.iter().for_each(|action| write(driver, action, &instance.dialect, reply)),
-            Err(cause) => {
-                let text = panic_text(cause.as_ref());
+        match result {
+            Ok(actions) => {
+                actions.iter().for_each(|action| encode_action(driver, action, &instance.dialect, reply))
+            }
+            Err(panic) => {
+                let text = panic_text(panic.as_ref());
                 text_record(reply, code::DIE, driver, &text);
             }
         }
@@ -117,115 +128,123 @@
     }
 }
 
-fn panic_text(cause: &(dyn std::any::Any + Send)) -> String {
-    let text = cause.downcast_ref::<&str>().map(|s| s.to_string());
-    text.or_else(|| cause.downcast_ref::<String>().cloned())
+/// The message of a panic.
+fn panic_text(panic: &(dyn std::any::Any + Send)) -> String {
+    let text = panic.downcast_ref::<&str>().map(|s| s.to_string());
+    text.or_else(|| panic.downcast_ref::<String>().cloned())
         .unwrap_or_else(|| "the module failed".to_string())
 }
 
-fn catalog(r: &mut Reader) -> Result<(u8, Vec<Entry>), String> {
-    let table = r.u8()?;
-    if table >= TABLES {
-        return Err(format!("table {table} is over {}", TABLES - 1));
+/// Decodes a member table with its number.
+fn decode_table(reader: &mut Reader) -> Result<(u8, Vec<Entry>), String> {
+    let table = reader.u8()?;
+    if table >= TABLE_COUNT {
+        return Err(format!("table {table} exceeds the greatest number {}", TABLE_COUNT - 1));
     }
-    let count = r.u32()?;
+    let count = reader.u32()?;
     let mut entries = Vec::new();
     for _ in 0..count {
-        entries.push(entry(r)?);
+        entries.push(decode_entry(reader)?);
     }
     Ok((table, entries))
 }
 
-fn entry(r: &mut Reader) -> Result<Entry, String> {
-    let listed = match r.u8()? {
+/// Decodes one entry of a member table.
+fn decode_entry(reader: &mut Reader) -> Result<Entry, String> {
+    let listed = match reader.u8()? {
         0 => Listed::Gone,
         1 => Listed::Ready,
         2 => Listed::Draining,
-        other => return Err(format!("list entry: health {other} is not known")),
+        other => return Err(format!("list entry: unknown health {other}")),
     };
-    let zone = ZoneId(r.u16()?);
-    let group = GroupId(u32::from(r.u16()?));
-    let started = Some(r.u64()?).filter(|&t| t > 0);
-    let _kind = r.u16()?;
-    let primary = r.f32()? == 1.0;
-    let member = MemberId(r.u32()?);
-    let _capacity_hint = r.f32()?;
+    let zone = ZoneId(reader.u16()?);
+    let group = GroupId(u32::from(reader.u16()?));
+    let started = Some(reader.u64()?).filter(|&t| t > 0);
+    let _kind = reader.u16()?;
+    let primary = reader.f32()? == 1.0;
+    let member = MemberId(reader.u32()?);
+    let _capacity_hint = reader.f32()?;
     Ok(Entry { member, group, zone, listed, started, primary })
 }
 
-fn event<'t>(
+/// Decodes the fields of an event; `None` for an event that the decision module has no use for.
+fn decode_event<'t>(
     code: u8,
-    r: &mut Reader,
+    reader: &mut Reader,
     tables: &'t BTreeMap<u8, Vec<Entry>>,
     dialect: &Dialect,
 ) -> Result<Option<Event<'t>>, String> {
     Ok(Some(match code {
         code::MEMBERSHIP => {
-            let form = r.u8()?;
-            let _version = r.u64()?;
-            let table = r.u8()?;
+            let form = reader.u8()?;
+            let _version = reader.u64()?;
+            let table = reader.u8()?;
             let kind = match form {
                 0 => ListKind::Delta,
                 1 => ListKind::Full,
                 2 => ListKind::Cached,
                 3 => return Ok(Some(Event::List(ListKind::Failed, &[]))),
-                other => return Err(format!("list form {other} is not known")),
+                other => return Err(format!("unknown list form {other}")),
             };
             let entries = tables.get(&table).ok_or_else(|| format!("table {table} was never declared"))?;
             Event::List(kind, entries)
         }
-        code::ASK => Event::Request(request(r)?),
+        code::ASK => Event::Request(decode_request(reader)?),
         code::HEAD_RECEIVED => {
-            r.take(8 + 2 + 4 + 4)?;
+            reader.take(8 + 2 + 4 + 4)?;
             return Ok(None);
         }
         code::ATTEMPT_END => {
-            let request = RequestId(r.u64()?);
-            let _attempt = r.u16()?;
-            let outcome = outcome(r.u16()?)?;
-            let member = MemberId(r.u32()?);
-            let note = note(r.u32()?, dialect);
-            let took = u64::from(r.u32()?);
-            let finished = r.u8()? != 0;
-            let report = report(r, dialect)?;
+            let request = RequestId(reader.u64()?);
+            let _attempt = reader.u16()?;
+            let outcome = decode_outcome(reader.u16()?)?;
+            let member = MemberId(reader.u32()?);
+            let note = decode_note(reader.u32()?, dialect);
+            let took = u64::from(reader.u32()?);
+            let finished = reader.u8()? != 0;
+            let report = decode_report(reader, dialect)?;
             Event::AttemptEnded(Ended { request, member, outcome, note, took, finished, report })
         }
-        code::HANGUP => Event::HungUp(RequestId(r.u64()?)),
+        code::HANGUP => Event::HungUp(RequestId(reader.u64()?)),
         code::REMINDER => {
-            let _name = r.u32()?;
+            let _name = reader.u32()?;
             Event::Timer
         }
         code::PROBE_RESULT => {
-            let member = MemberId(r.u32()?);
-            let outcome = outcome(r.u16()?)?;
-            let _took = r.u32()?;
-            Event::ProbeEnded { member, outcome, report: report(r, dialect)? }
+            let member = MemberId(reader.u32()?);
+            let outcome = decode_outcome(reader.u16()?)?;
+            let _took = reader.u32()?;
+            Event::ProbeEnded { member, outcome, report: decode_report(reader, dialect)? }
         }
         code::DATAGRAM => {
-            let _from = r.u32()?;
-            let length = r.u16()? as usize;
-            Event::PeerUpdates(words(r.take(length)?, dialect))
+            let _from = reader.u32()?;
+            let length = reader.u16()? as usize;
+            Event::PeerUpdates(decode_updates(reader.take(length)?, dialect))
         }
-        _ => return Err("no such event".to_string()),
+        _ => return Err("no such event: the code is unknown".to_string()),
     }))
 }
 
-fn request(r: &mut Reader) -> Result<Request, String> {
-    let id = RequestId(r.u64()?);
-    let _hint = r.u32()?;
-    let session = Some(SessionId(r.u64()?)).filter(|s| s.0 != 0);
-    let class = usize::from(r.u16()?);
-    let repeat = r.u8()? & CLIENT_REPEAT != 0;
-    let _tenant = r.u32()?;
-    let budget = u64::from(r.u32()?);
-    let ago_ms = r.f32()?;
-    let shard = r.f32()?;
-    // Milliseconds as a 32-bit float: rounded towards the later commit, the stricter one.
-    let last_write_ago = (ago_ms > 0.0).then(|| (f64::from(ago_ms.next_down()) * 1000.0) as u64);
-    Ok(Request { id, class, group: GroupId(shard as u32), session, budget, repeat, last_write_ago })
+/// Decodes a request.
+fn decode_request(reader: &mut Reader) -> Result<Request, String> {
+    let id = RequestId(reader.u64()?);
+    let _hint = reader.u32()?;
+    let session = Some(SessionId(reader.u64()?)).filter(|s| s.0 != 0);
+    let class = usize::from(reader.u16()?);
+    let repeat = reader.u8()? & REPEAT_FLAG != 0;
+    let _tenant = reader.u32()?;
+    let budget = u64::from(reader.u32()?);
+    let last_write_ms = reader.f32()?;
+    let group = reader.f32()?;
+    // The value is a 32-bit float in milliseconds, which may have been rounded. The next lower value is used: it stands for
+    // a later commit, and so for the stricter requirement.
+    let last_write_ago =
+        (last_write_ms > 0.0).then(|| (f64::from(last_write_ms.next_down()) * 1000.0) as u64);
+    Ok(Request { id, class, group: GroupId(group as u32), session, budget, repeat, last_write_ago })
 }
 
-fn outcome(code: u16) -> Result<Outcome, String> {
+/// Decodes the outcome of an attempt or a probe.
+fn decode_outcome(code: u16) -> Result<Outcome, String> {
     Ok(match code {
         200 => Outcome::Served,
         404 => Outcome::Misplaced,
@@ -236,30 +255,30 @@
         503 => Outcome::Full,
         504 => Outcome::TimedOut,
         598 => Outcome::Reset,
-        other => return Err(format!("outcome {other} is not known")),
+        other => return Err(format!("unknown outcome {other}")),
     })
 }
 
-/// A message between routers: for each member its id and a note, as answers carry it. What is left over at
-/// the end of one is passed over.
-fn words(bytes: &[u8], dialect: &Dialect) -> Vec<MemberUpdate> {
-    let mut r = Reader::new(bytes);
-    let mut words = Vec::new();
-    while let (Ok(member), Ok(raw)) = (r.u32(), r.u32()) {
-        let note = note(raw, dialect);
-        words.extend(note.position.map(|position| MemberUpdate {
+/// Decodes a message between routers: for each member its id and a note in the encoding of answers. Incomplete bytes at the
+/// end are ignored.
+fn decode_updates(bytes: &[u8], dialect: &Dialect) -> Vec<MemberUpdate> {
+    let mut reader = Reader::new(bytes);
+    let mut updates = Vec::new();
+    while let (Ok(member), Ok(raw)) = (reader.u32(), reader.u32()) {
+        let note = decode_note(raw, dialect);
+        updates.extend(note.position.map(|position| MemberUpdate {
             member: MemberId(member),
             position,
             role: note.role,
         }));
     }
-    words
+    updates
 }
 
-/// The note that says this of a member, rounded down to milliseconds.
-fn note_of(word: &MemberUpdate, dialect: &Dialect) -> u32 {
-    let ms = word.position.saturating_sub(dialect.zero) / 1000;
-    let role = match word.role {
+/// Encodes a member update as a note, with the position rounded down to milliseconds.
+fn encode_note(update: &MemberUpdate, dialect: &Dialect) -> u32 {
+    let ms = update.position.saturating_sub(dialect.zero) / 1000;
+    let role = match update.role {
         Some(Role::Primary) => 1,
         Some(Role::Replica) => 2,
         None => 0,
@@ -267,7 +286,8 @@
     u32::try_from(ms << 2 | role).unwrap_or(0)
 }
 
-fn note(raw: u32, dialect: &Dialect) -> Note {
+/// Decodes a note: the position in milliseconds after the zero time, times 4, plus the code of the role.
+fn decode_note(raw: u32, dialect: &Dialect) -> Note {
     let role = match raw & 3 {
         1 => Some(Role::Primary),
         2 => Some(Role::Replica),
@@ -277,31 +297,33 @@
     Note { position: (ms > 0).then(|| dialect.zero.saturating_add(ms * 1000)), role }
 }
 
-fn report(r: &mut Reader, dialect: &Dialect) -> Result<Report, String> {
-    let count = r.u8()?;
+/// Decodes a load report. Values that are not finite or negative are ignored.
+fn decode_report(reader: &mut Reader, dialect: &Dialect) -> Result<Report, String> {
+    let count = reader.u8()?;
     let mut report = Report::default();
-    for i in 0..usize::from(count) {
-        let value = r.f32()?;
+    for index in 0..usize::from(count) {
+        let value = reader.f32()?;
         if !value.is_finite() || value < 0.0 {
             continue;
         }
-        let wide = f64::from(value);
-        match dialect.report.get(i).copied().unwrap_or(ReportField::Other) {
-            // The float may have been rounded up: the next one down is certainly reached.
+        let value_f64 = f64::from(value);
+        match dialect.report.get(index).copied().unwrap_or(ReportField::Other) {
+            // The float may have been rounded up; the member has certainly reached the next lower value.
             ReportField::Position if value > 0.0 => {
-                let reached = (f64::from(value.next_down()) * 1e6) as u64;
-                report.position = Some(dialect.zero.saturating_add(reached));
+                let after_zero_us = (f64::from(value.next_down()) * 1e6) as u64;
+                report.position = Some(dialect.zero.saturating_add(after_zero_us));
             }
             ReportField::Role => report.role = Some(if value == 1.0 { Role::Primary } else { Role::Replica }),
-            ReportField::Utilization => report.utilization = Some(wide),
-            ReportField::Backlog => report.backlog = Some(wide),
+            ReportField::Utilization => report.utilization = Some(value_f64),
+            ReportField::Backlog => report.backlog = Some(value_f64),
             ReportField::Position | ReportField::Other => {}
         }
     }
     Ok(report)
 }
 
-fn write(driver: u32, action: &Action, dialect: &Dialect, reply: &mut Reply) {
+/// Encodes an action as records of the reply.
+fn encode_action(driver: u32, action: &Action, dialect: &Dialect, reply: &mut Reply) {
     let driver_bytes = driver.to_le_bytes();
     let micros = |us: u64| u32::try_from(us).unwrap_or(u32::MAX).to_le_bytes();
     match action {
@@ -316,10 +338,12 @@
         Action::CloseIdle(member) => {
             reply.record(code::DROP_CONNS, &[&driver_bytes, &member.0.to_le_bytes()]);
         }
-        Action::TellPeers(words) => words.chunks(MESSAGE_WORDS).for_each(|chunk| {
+        Action::TellPeers(updates) => updates.chunks(MAX_UPDATES_PER_MESSAGE).for_each(|chunk| {
             let data: Vec<u8> = chunk
                 .iter()
-                .flat_map(|w| [w.member.0.to_le_bytes(), note_of(w, dialect).to_le_bytes()].concat())
+                .flat_map(|update| {
+                    [update.member.0.to_le_bytes(), encode_note(update, dialect).to_le_bytes()].concat()
+                })
                 .collect();
             let length = (data.len() as u16).to_le_bytes();
             reply.record(code::POST, &[&driver_bytes, &ALL_PEERS.to_le_bytes(), &length, &data]);
@@ -328,13 +352,14 @@
         Action::SetTimer(after) => {
             reply.record(code::SCHEDULE, &[&driver_bytes, &micros(*after), &0u32.to_le_bytes()]);
         }
-        // There, members stay known, and no planner runs.
+        // In this protocol members stay known, and no zone planner runs.
         Action::Forget(_) | Action::SpillLoans(_) => {}
         Action::Subscribe => reply.record(code::FOLLOW, &[&driver_bytes, &[1]]),
         Action::Log(text) => text_record(reply, code::PRINT, driver, text),
     }
 }
 
+/// Appends a record with a text, cut to the greatest length that its field can hold.
 fn text_record(reply: &mut Reply, code: u8, driver: u32, text: &str) {
     let bytes = &text.as_bytes()[..text.len().min(usize::from(u16::MAX))];
     reply.record(code, &[&driver.to_le_bytes(), &(bytes.len() as u16).to_le_bytes(), bytes]);
--- a/crates/benchlink/src/host/tests.rs
+++ b/crates/benchlink/src/host/tests.rs
@@ -19,7 +19,7 @@
 const HANGUP: &str = "06 0c000000 05000000 192b6f0e1ce60400";
 const HALT: &str = "0a 04000000 03000000";
 
-fn facts() -> String {
+fn settings() -> String {
     r#"{"discovery": "pushed", "novelty": [1],
         "extra": {"consistency": ["recent", "update"], "guards": "silent", "sessionMarks": "client",
             "stalenessBoundUs": [200000, 0], "zeroUs": 1000000, "unheardOf": null},
@@ -36,55 +36,57 @@
         .to_string()
 }
 
-fn spawn(driver: u32, facts: &str) -> Vec<u8> {
+fn spawn(driver: u32, settings: &str) -> Vec<u8> {
     let mut record = vec![1];
-    record.extend(((4 + 8 + 4 + facts.len()) as u32).to_le_bytes());
+    record.extend(((4 + 8 + 4 + settings.len()) as u32).to_le_bytes());
     record.extend(driver.to_le_bytes());
     record.extend(7u64.to_le_bytes());
-    record.extend((facts.len() as u32).to_le_bytes());
-    record.extend(facts.as_bytes());
+    record.extend((settings.len() as u32).to_le_bytes());
+    record.extend(settings.as_bytes());
     record
 }
 
+/// The records that start one instance with a list of two members.
 fn started() -> Vec<u8> {
-    [spawn(DRIVER, &facts()), bytes(CATALOG), bytes(MEMBERSHIP)].concat()
+    [spawn(DRIVER, &settings()), bytes(CATALOG), bytes(MEMBERSHIP)].concat()
 }
 
+/// Handles a batch with these records.
 fn play(host: &mut Host, clock: u64, body: &[u8]) -> Result<Vec<u8>, String> {
     host.batch(Header { batch: 1, length: (body.len() + 16) as u32, clock }, body)
 }
 
-/// The records of a reply: code and fields of each.
+/// Splits a reply into the code and fields of each record.
 fn records(reply: &[u8]) -> Vec<(u8, Vec<u8>)> {
-    let mut r = Reader::new(reply);
-    assert_eq!(r.u32(), Ok(1));
-    assert_eq!(r.u32(), Ok(reply.len() as u32));
-    let count = r.u32().unwrap();
+    let mut reader = Reader::new(reply);
+    assert_eq!(reader.u32(), Ok(1));
+    assert_eq!(reader.u32(), Ok(reply.len() as u32));
+    let count = reader.u32().unwrap();
     let mut found = Vec::new();
-    while r.left() > 0 {
-        let code = r.u8().unwrap();
-        let length = r.u32().unwrap() as usize;
-        found.push((code, r.take(length).unwrap().to_vec()));
+    while reader.left() > 0 {
+        let code = reader.u8().unwrap();
+        let length = reader.u32().unwrap() as usize;
+        found.push((code, reader.take(length).unwrap().to_vec()));
     }
     assert_eq!(found.len(), count as usize);
     found
 }
 
 fn dialect() -> Dialect {
-    Site::parse(facts().as_bytes()).unwrap().dialect
+    Site::parse(settings().as_bytes()).unwrap().dialect
 }
 
-/// The fields of a record, without code, length and instance.
+/// The fields of a record, without its code, length and instance.
 fn fields(hex: &str) -> Vec<u8> {
     bytes(hex)[9..].to_vec()
 }
 
 #[test]
-fn a_request_is_read_field_by_field() {
+fn every_field_of_a_request_is_decoded() {
     let raw = fields(ASK);
     let tables = BTreeMap::new();
-    let event = event(code::ASK, &mut Reader::new(&raw), &tables, &dialect()).unwrap();
-    let Some(Event::Request(request)) = event else { panic!("not a request") };
+    let event = decode_event(code::ASK, &mut Reader::new(&raw), &tables, &dialect()).unwrap();
+    let Some(Event::Request(request)) = event else { panic!("the event is not a request") };
     assert_eq!(request.id, RequestId(0x0006_6920_5d3a_91c4));
     assert_eq!((request.class, request.group, request.budget), (0, GroupId(11), 240_000));
     assert_eq!(request.session, Some(SessionId(0x91f0_3b7c_55d2_0a64)));
@@ -93,17 +95,17 @@
 }
 
 #[test]
-fn an_attempts_end_is_read_field_by_field() {
+fn every_field_of_an_attempts_end_is_decoded() {
     let raw = fields(ATTEMPT_END);
     let tables = BTreeMap::new();
-    let event = event(code::ATTEMPT_END, &mut Reader::new(&raw), &tables, &dialect()).unwrap();
-    let Some(Event::AttemptEnded(ended)) = event else { panic!("not an end") };
+    let event = decode_event(code::ATTEMPT_END, &mut Reader::new(&raw), &tables, &dialect()).unwrap();
+    let Some(Event::AttemptEnded(ended)) = event else { panic!("the event is not the end of an attempt") };
     assert_eq!((ended.outcome, ended.finished, ended.took), (Outcome::Served, true, 18_500));
     assert_eq!(ended.member, MemberId(0x0312_4a07));
     let ms = u64::from(0x638e_u32 >> 2);
     assert_eq!(ended.note.position, Some(1_000_000 + ms * 1000));
     assert_eq!(ended.note.role, Some(Role::Replica));
-    // The report's position is taken down by the float's last digit, never up.
+    // The position of the report is rounded down by one unit of the float's last digit, never up.
     let exact = f64::from(f32::from_bits(0x40c6_872b)) * 1e6;
     let read = ended.report.position.unwrap() - 1_000_000;
     assert!((read as f64) < exact && read as f64 > exact - 3.0, "{read} against {exact}");
@@ -112,34 +114,34 @@
 }
 
 #[test]
-fn numbers_of_a_report_that_make_no_sense_are_passed_over() {
+fn invalid_numbers_in_a_load_report_are_ignored() {
     let mut raw = vec![3u8];
     for value in [f32::NAN, f32::NEG_INFINITY, -1.0] {
         raw.extend(value.to_le_bytes());
     }
-    let report = report(&mut Reader::new(&raw), &dialect()).unwrap();
+    let report = decode_report(&mut Reader::new(&raw), &dialect()).unwrap();
     assert_eq!((report.position, report.role, report.utilization), (None, None, None));
 }
 
 #[test]
-fn a_list_is_read_and_its_members_are_probed() {
+fn the_members_of_a_decoded_list_are_probed() {
     let mut host = Host::default();
     let reply = play(&mut host, 2_000_000, &started()).unwrap();
     let probed: Vec<Vec<u8>> =
         records(&reply).into_iter().filter(|(c, _)| *c == code::TEST).map(|(_, f)| f).collect();
     let expected: Vec<Vec<u8>> = [0x0312_4a07u32, 0x2c90_11f2]
         .iter()
-        .map(|m| [DRIVER.to_le_bytes(), m.to_le_bytes()].concat())
+        .map(|member| [DRIVER.to_le_bytes(), member.to_le_bytes()].concat())
         .collect();
     assert_eq!(probed, expected);
 }
 
 #[test]
-fn a_write_goes_out_as_a_dispatch() {
+fn a_write_is_sent_to_the_primary_as_a_dispatch_record() {
     let mut host = Host::default();
     play(&mut host, 2_000_000, &started()).unwrap();
     let mut ask = bytes(ASK);
-    ask[5 + 4 + 8 + 4 + 8] = 1; // the class that writes
+    ask[5 + 4 + 8 + 4 + 8] = 1; // the index of the class that writes
     let reply = play(&mut host, 2_010_000, &ask).unwrap();
     let (_, sent) = records(&reply).into_iter().find(|(c, _)| *c == code::DISPATCH).unwrap();
     let expected = [&DRIVER.to_le_bytes()[..], &ask[9..17], &0x0312_4a07u32.to_le_bytes(), &[0; 4]].concat();
@@ -147,7 +149,7 @@
 }
 
 #[test]
-fn halt_and_spawn_in_one_batch_start_afresh() {
+fn halt_and_spawn_in_one_batch_start_a_new_instance() {
     let mut host = Host::default();
     play(&mut host, 2_000_000, &started()).unwrap();
     let body = [bytes(HALT), started()].concat();
@@ -157,60 +159,60 @@
 }
 
 #[test]
-fn a_table_declared_again_replaces_the_earlier_one_in_event_order() {
+fn a_table_declared_again_replaces_the_earlier_one_before_later_events() {
     let mut host = Host::default();
     let empty = bytes("0b 05000000 00 00000000");
-    let body = [spawn(DRIVER, &facts()), bytes(CATALOG), empty, bytes(MEMBERSHIP)].concat();
+    let body = [spawn(DRIVER, &settings()), bytes(CATALOG), empty, bytes(MEMBERSHIP)].concat();
     let reply = play(&mut host, 2_000_000, &body).unwrap();
     assert_eq!(records(&reply).iter().filter(|(c, _)| *c == code::TEST).count(), 0);
 }
 
 #[test]
-fn frames_cut_at_every_byte_are_reported_and_never_panic() {
+fn batches_cut_at_any_byte_are_reported_without_a_panic() {
     let whole = [started(), bytes(ASK), bytes(REMINDER), bytes(ATTEMPT_END), bytes(HALT)].concat();
-    let starts: Vec<usize> = {
-        let (mut at, mut found) = (0, vec![0]);
-        while at < whole.len() {
-            at += 5 + u32::from_le_bytes(whole[at + 1..at + 5].try_into().unwrap()) as usize;
-            found.push(at);
+    let record_starts: Vec<usize> = {
+        let (mut start, mut found) = (0, vec![0]);
+        while start < whole.len() {
+            start += 5 + u32::from_le_bytes(whole[start + 1..start + 5].try_into().unwrap()) as usize;
+            found.push(start);
         }
         found
     };
     assert!(play(&mut Host::default(), 2_000_000, &whole).is_ok());
-    for cut in (0..whole.len()).filter(|cut| !starts.contains(cut)) {
+    for cut in (0..whole.len()).filter(|cut| !record_starts.contains(cut)) {
         let message = play(&mut Host::default(), 2_000_000, &whole[..cut]).unwrap_err();
         assert!(message.starts_with("batch 1, record "), "{message}");
     }
 }
 
 #[test]
-fn what_does_not_fit_is_named() {
-    let with =
+fn errors_name_what_cannot_be_decoded() {
+    let error_of =
         |extra: &str| play(&mut Host::default(), 2_000_000, &[started(), bytes(extra)].concat()).unwrap_err();
-    assert!(with("63 04000000 03000000").contains("no such event"));
-    assert!(with("07 09000000 03000000 4d000000 00").contains("1 bytes too many"));
-    assert!(with(HANGUP).contains("instance 5 is not running"));
-    assert!(with("02 0e000000 03000000 02 2900000000000000 04").contains("table 4 was never declared"));
-    assert!(with("02 0e000000 03000000 07 2900000000000000 00").contains("form 7"));
-    assert!(with("0b 05000000 10 00000000").contains("table 16"));
-    assert!(with("08 12000000 03000000 074a1203 e700 00000000 03 00000000").contains("outcome 231"));
+    assert!(error_of("63 04000000 03000000").contains("no such event"));
+    assert!(error_of("07 09000000 03000000 4d000000 00").contains("1 bytes too many"));
+    assert!(error_of(HANGUP).contains("instance 5 is not running"));
+    assert!(error_of("02 0e000000 03000000 02 2900000000000000 04").contains("table 4 was never declared"));
+    assert!(error_of("02 0e000000 03000000 07 2900000000000000 00").contains("form 7"));
+    assert!(error_of("0b 05000000 10 00000000").contains("table 16"));
+    assert!(error_of("08 12000000 03000000 074a1203 e700 00000000 03 00000000").contains("outcome 231"));
 }
 
 #[test]
-fn settings_that_are_not_usable_are_named() {
-    let with = |from: &str, to: &str| {
-        let body = spawn(DRIVER, &facts().replace(from, to));
+fn errors_name_settings_that_cannot_be_used() {
+    let error_of = |from: &str, to: &str| {
+        let body = spawn(DRIVER, &settings().replace(from, to));
         play(&mut Host::default(), 2_000_000, &body).unwrap_err()
     };
-    assert!(with("\"pushed\"", "\"telepathy\"").contains("discovery is \"telepathy\""));
-    assert!(with("\"silent\"", "\"loud\"").contains("extra.guards"));
-    assert!(with("[\"recent\", \"update\"]", "[\"recent\"]").contains("1 entries"));
-    assert!(with("\"idempotent\"", "\"maybe\"").contains("idempotency"));
-    assert!(with("\"stepUs\": 5000,", "").contains("stepUs"));
+    assert!(error_of("\"pushed\"", "\"telepathy\"").contains("discovery is \"telepathy\""));
+    assert!(error_of("\"silent\"", "\"loud\"").contains("extra.guards"));
+    assert!(error_of("[\"recent\", \"update\"]", "[\"recent\"]").contains("1 entries"));
+    assert!(error_of("\"idempotent\"", "\"maybe\"").contains("idempotency"));
+    assert!(error_of("\"stepUs\": 5000,", "").contains("stepUs"));
 }
 
 #[test]
-fn a_failure_inside_the_module_has_its_text() {
+fn a_panic_of_the_module_is_reported_with_its_message() {
     assert_eq!(panic_text(&"broken"), "broken");
     assert_eq!(panic_text(&"broken too".to_string()), "broken too");
     let mut reply = Reply::new(1);
@@ -220,23 +222,28 @@
 }
 
 #[test]
-fn words_of_a_message_are_written_and_read_again() {
+fn member_updates_survive_encoding_and_decoding() {
     let dialect = dialect();
-    let word = |member, ms: u64, role| MemberUpdate {
+    let update = |member, ms: u64, role| MemberUpdate {
         member: MemberId(member),
         position: dialect.zero + ms * 1000,
         role,
     };
-    let sent = [word(7, 42_000, Some(Role::Primary)), word(9, 41_999, Some(Role::Replica)), word(8, 1, None)];
+    let sent =
+        [update(7, 42_000, Some(Role::Primary)), update(9, 41_999, Some(Role::Replica)), update(8, 1, None)];
     let mut reply = Reply::new(1);
-    write(DRIVER, &Action::TellPeers(sent.to_vec()), &dialect, &mut reply);
+    encode_action(DRIVER, &Action::TellPeers(sent.to_vec()), &dialect, &mut reply);
     let posts = records(&reply.finish());
     let (code, fields) = &posts[0];
     assert_eq!((*code, posts.len(), fields.len()), (code::POST, 1, 4 + 2 + 2 + 3 * 8));
-    assert_eq!(words(&fields[8..], &dialect), sent);
-    assert_eq!(words(&fields[8..fields.len() - 1], &dialect), sent[..2], "a cut word is passed over");
+    assert_eq!(decode_updates(&fields[8..], &dialect), sent);
+    assert_eq!(
+        decode_updates(&fields[8..fields.len() - 1], &dialect),
+        sent[..2],
+        "an incomplete update is ignored"
+    );
     let many = vec![sent[0].clone(); 40];
     let mut reply = Reply::new(1);
-    write(DRIVER, &Action::TellPeers(many), &dialect, &mut reply);
+    encode_action(DRIVER, &Action::TellPeers(many), &dialect, &mut reply);
     assert!(records(&reply.finish()).iter().all(|(_, fields)| fields.len() <= 8 + 256));
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,16 +1,18 @@
-//! The settings that a router is given at start, as its users word them, and their translation into the
-//! decision module's terms. The driver finds them in its configuration, the bench's adapter in a start event.
+//! Decodes the settings that a router is given at start: from their JSON form into the types of the decision module, and the
+//! values that the program around the module needs. The driver finds the settings in its configuration file, the adapter to
+//! a simulator (`beaconshore-benchlink`) in the event that starts a router.
 
 use beaconshore::interface as api;
 use serde::Deserialize;
 
+/// The settings in their JSON form.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Facts {
+struct RawSettings {
     discovery: String,
     extra: Extra,
     limits: Limits,
-    #[serde(default = "alone")]
+    #[serde(default = "one_instance")]
     n_instances: u32,
     load_report: LoadReport,
     request_classes: Vec<Class>,
@@ -90,23 +92,23 @@
     fall_us: u64,
 }
 
-/// A value of a load report that the module has a use for.
+/// Meaning of one value in a member's load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportField {
-    /// The position, in seconds after the zero time.
+    /// Position: the time up to which the member has applied all commits, in seconds after the zero time.
     Position,
-    /// 1 from a primary.
+    /// Role of the member: 1 for a primary, any other value for a replica.
     Role,
-    /// Busy share of the cores.
+    /// Share of the processor cores that is busy.
     Utilization,
-    /// Requests that wait.
+    /// Number of waiting requests.
     Backlog,
-    /// One that nothing here reads.
+    /// A value that is not used.
     Other,
 }
 
 impl ReportField {
-    /// The value that goes by this name in load reports.
+    /// The meaning of the value with this name in load reports.
     pub fn named(name: &str) -> Self {
         match name {
             "x0" => ReportField::Position,
@@ -118,135 +120,140 @@
     }
 }
 
-/// All that the settings hold: what the module is given, and what its surroundings need to speak for it.
+/// The decoded settings: one part for the decision module, one for the program that runs it.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
-#[serde(try_from = "Facts")]
+#[serde(try_from = "RawSettings")]
 pub struct Site {
-    /// The decision module's part.
+    /// The settings of the decision module.
     pub settings: api::Settings,
-    /// The rest.
+    /// The values that the program around the module needs.
     pub dialect: Dialect,
 }
 
-/// What is kept of the settings to translate events and actions.
+/// Values that the program around the decision module needs to translate between its protocol and the module's events and
+/// actions, and to limit its connections.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Dialect {
-    /// Clock time from which positions are counted where they are not absolute.
+    /// Unix time in microseconds from which positions are counted in protocols with relative positions.
     pub zero: api::Micros,
-    /// Meaning of the values in a load report, in order.
+    /// Meaning of the values in a load report, in their order.
     pub report: Vec<ReportField>,
-    /// Names of the classes, by index.
+    /// Names of the request classes, by index.
     pub classes: Vec<String>,
     /// Names of the zones, by index.
     pub zones: Vec<String>,
-    /// A connection that is not up after this never comes up.
+    /// Time after which an attempt to open a connection to a member is given up; such a connection would never be
+    /// established.
     pub connect_timeout: api::Micros,
-    /// An idle connection is closed by its other end after this at the latest.
+    /// Time after which a member closes an idle connection at the latest.
     pub conn_idle: api::Micros,
-    /// Within this of hearing that a member drains nothing new goes there any more; 0: not told.
+    /// Time after learning that a member drains, from which on no new request may be sent to it; 0 if not stated.
     pub drain_grace: api::Micros,
 }
 
 impl Site {
-    /// Reads the settings from their JSON text.
+    /// Decodes the settings from their JSON text.
     pub fn parse(text: &[u8]) -> Result<Site, String> {
         serde_json::from_slice(text).map_err(|e| format!("settings: {e}"))
     }
 }
 
-impl TryFrom<Facts> for Site {
+impl TryFrom<RawSettings> for Site {
     type Error = String;
 
-    fn try_from(facts: Facts) -> Result<Site, String> {
-        if facts.extra.consistency.len() != facts.request_classes.len() {
+    fn try_from(raw: RawSettings) -> Result<Site, String> {
+        if raw.extra.consistency.len() != raw.request_classes.len() {
             return Err(format!(
-                "{} entries in extra.consistency for {} classes",
-                facts.extra.consistency.len(),
-                facts.request_classes.len()
+                "{} entries in extra.consistency for {} request classes",
+                raw.extra.consistency.len(),
+                raw.request_classes.len()
             ));
         }
-        let mut classes = Vec::with_capacity(facts.request_classes.len());
-        for (i, class) in facts.request_classes.iter().enumerate() {
-            classes.push(class_of(&facts.extra, i, class)?);
+        let mut classes = Vec::with_capacity(raw.request_classes.len());
+        for (i, class) in raw.request_classes.iter().enumerate() {
+            classes.push(decode_class(&raw.extra, i, class)?);
         }
         let settings = api::Settings {
-            zone: api::ZoneId(facts.zone),
-            routers: facts.n_instances,
-            step: facts.step_us,
+            zone: api::ZoneId(raw.zone),
+            routers: raw.n_instances,
+            step: raw.step_us,
             classes,
-            discovery: match facts.discovery.as_str() {
+            discovery: match raw.discovery.as_str() {
                 "pushed" => api::Discovery::Pushed,
                 "on_request" => api::Discovery::OnRequest,
-                other => return Err(unknown("discovery", other)),
+                other => return Err(unknown_value("discovery", other)),
             },
-            session_marks: match facts.extra.session_marks.as_deref() {
+            session_marks: match raw.extra.session_marks.as_deref() {
                 Some("router") => api::SessionMarks::Router,
                 Some("client") | None => api::SessionMarks::Client,
-                Some(other) => return Err(unknown("extra.sessionMarks", other)),
+                Some(other) => return Err(unknown_value("extra.sessionMarks", other)),
             },
-            lag_check: match facts.extra.guards.as_deref() {
+            lag_check: match raw.extra.guards.as_deref() {
                 Some("reject" | "hold") => api::LagCheck::Member,
                 Some("silent") | None => api::LagCheck::Router,
-                Some(other) => return Err(unknown("extra.guards", other)),
+                Some(other) => return Err(unknown_value("extra.guards", other)),
             },
             limits: api::Limits {
-                max_attempts: facts.limits.max_attempts,
-                connect_timeout: facts.limits.connect_timeout_us,
-                max_retry_after: facts.limits.max_retry_after_us,
-                retry_after: facts.limits.retry_after,
-                probes: facts.limits.probes,
-                peer_messages: facts.limits.peer_messages,
+                max_attempts: raw.limits.max_attempts,
+                connect_timeout: raw.limits.connect_timeout_us,
+                max_retry_after: raw.limits.max_retry_after_us,
+                retry_after: raw.limits.retry_after,
+                probes: raw.limits.probes,
+                peer_messages: raw.limits.peer_messages,
             },
             rules: api::RuleFigures {
-                ask_within: facts.rules.ask_within_us,
-                only_draining_binds: facts.rules.only_draining_binds,
-                cold_share: facts.rules.start_capacity,
-                warm_within: facts.rules.warm_within_us,
-                fall_multiple: facts.rules.tip_multiple,
-                fall_window: facts.rules.fall_us,
+                ask_within: raw.rules.ask_within_us,
+                only_draining_binds: raw.rules.only_draining_binds,
+                cold_share: raw.rules.start_capacity,
+                warm_within: raw.rules.warm_within_us,
+                fall_multiple: raw.rules.tip_multiple,
+                fall_window: raw.rules.fall_us,
             },
         };
         let dialect = Dialect {
-            zero: facts.extra.zero_us,
-            report: facts.load_report.fields.iter().map(|name| ReportField::named(name)).collect(),
-            classes: facts.request_classes.into_iter().map(|class| class.name).collect(),
-            zones: facts.zones,
-            connect_timeout: facts.limits.connect_timeout_us,
-            conn_idle: facts.limits.conn_idle_us,
-            drain_grace: facts.rules.drain_grace_us,
+            zero: raw.extra.zero_us,
+            report: raw.load_report.fields.iter().map(|name| ReportField::named(name)).collect(),
+            classes: raw.request_classes.into_iter().map(|class| class.name).collect(),
+            zones: raw.zones,
+            connect_timeout: raw.limits.connect_timeout_us,
+            conn_idle: raw.limits.conn_idle_us,
+            drain_grace: raw.rules.drain_grace_us,
         };
         Ok(Site { settings, dialect })
     }
 }
 
-fn alone() -> u32 {
+/// Number of routers if the settings do not state it.
+fn one_instance() -> u32 {
     1
 }
 
-fn unknown(key: &str, word: &str) -> String {
-    format!("{key} is {word:?}, which is not known")
+/// The error for a key with an unknown value.
+fn unknown_value(key: &str, value: &str) -> String {
+    format!("{key} is {value:?}, which is not a known value")
 }
 
-fn class_of(extra: &Extra, index: usize, class: &Class) -> Result<api::Class, String> {
+/// Decodes the request class at `index`.
+fn decode_class(extra: &Extra, index: usize, class: &Class) -> Result<api::Class, String> {
     let consistency = match extra.consistency[index].as_str() {
         "update" => api::Consistency::Write,
         "latest" => api::Consistency::Fresh,
         "own_writes" => api::Consistency::Session,
         "recent" => api::Consistency::Bounded(*extra.staleness_bound_us.get(index).unwrap_or(&0)),
         "loose" => api::Consistency::Any,
-        other => return Err(unknown("extra.consistency", other)),
+        other => return Err(unknown_value("extra.consistency", other)),
     };
     let scope = match class.dedup_scope.as_deref() {
         Some("all") => api::DedupScope::All,
         Some("zone") => api::DedupScope::Zone,
         Some("cell") | None => api::DedupScope::Group,
-        Some(other) => return Err(unknown("requestClasses.dedupScope", other)),
+        Some(other) => return Err(unknown_value("requestClasses.dedupScope", other)),
     };
     let effect = match class.idempotency.as_str() {
         "idempotent" => api::Effect::Safe,
         "deduplicated" => api::Effect::Keyed(scope, class.window_us),
         "at_most_once" => api::Effect::Unsafe,
-        other => return Err(unknown("requestClasses.idempotency", other)),
+        other => return Err(unknown_value("requestClasses.idempotency", other)),
     };
     Ok(api::Class {
         consistency,
