--- a/crates/driver/src/cli/mod.rs
+++ b/crates/driver/src/cli/mod.rs
@@ -18,7 +18,7 @@
 
 /// Routes requests to the members of replicated stores.
 ///
-/// Without a command it serves, as its environment says: RELAY_CONFIG names the configuration,
+/// Without a command it serves as a router. Environment variables name its files: RELAY_CONFIG the configuration,
 /// BEACONSHORE_OPERATOR an operator's file.
 #[derive(Debug, Parser)]
 #[command(name = "beaconshore", version)]
@@ -45,7 +45,7 @@
         #[arg(short, long, value_enum, default_value_t = Format::Text)]
         format: Format,
     },
-    /// Says which route a request would take, why no earlier one, and how its attempts may go at worst.
+    /// Says which route a request would take, why no earlier route matches it, and the latest times of its attempts.
     Explain(explain::ExplainArguments),
     /// Says what a reload from one operator's file to another would change.
     Diff {
--- a/crates/driver/src/lib.rs
+++ b/crates/driver/src/lib.rs
@@ -75,6 +75,7 @@
     stats: Stats,
     meter: Meter,
     stalls: StallDetector,
+    /// Id of the request that was accepted last. Ids are consecutive numbers.
     requests: Cell<u64>,
     /// Number of lists and updates that the module has taken in. A member's actor compares it to see whether a decision was
     /// made before the latest one.
--- a/crates/driver/src/peers/message.rs
+++ b/crates/driver/src/peers/message.rs
@@ -111,7 +111,7 @@
         }
         bytes
     };
-    // A position too far before the newest for its field tells nothing new, and is left out.
+    // A position that precedes the newest by more than its field can express is of no use to others, and is left out.
     let fits = |s: &&MemberState| base - s.position / 1000 <= u64::from(u32::MAX >> 2);
     let states: Vec<MemberState> = states.iter().filter(fits).copied().collect();
     states.chunks((MAX_DATAGRAM - HEADER_BYTES) / STATE_BYTES).map(datagram).collect()
