--- a/crates/benchlink/src/host.rs
+++ b/crates/benchlink/src/host.rs
@@ -4,8 +4,8 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
 use beaconshore::interface::{
-    Action, AttemptResult, ListEntry, Event, GroupId, ListKind, ListedState, MemberId, MemberUpdate, ReplyStatus, Outcome, Report,
-    Request, RequestId, Role, SessionId, ZoneId,
+    Action, AttemptResult, Event, GroupId, ListEntry, ListKind, ListedState, MemberId, MemberUpdate, Outcome,
+    ReplyStatus, Report, Request, RequestId, Role, SessionId, ZoneId,
 };
 use beaconshore::Router;
 use beaconshore_settings::{Dialect, ReportField, Site};
