--- a/crates/driver/src/module/mod.rs
+++ b/crates/driver/src/module/mod.rs
@@ -14,7 +14,7 @@
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use beaconshore::interface::{
-    Action, AttemptResult, Entry, Event, GroupId, ListKind, ListedState, MemberId, MemberUpdate, Micros,
+    Action, AttemptResult, Event, GroupId, ListEntry, ListKind, ListedState, MemberId, MemberUpdate, Micros,
     Outcome, Request, RequestId, Role, SpillLoan, ZoneId,
 };
 use beaconshore_steering::{Connection, Steering};
