--- a/crates/driver/src/budget.rs
+++ b/crates/driver/src/budget.rs
@@ -11,9 +11,9 @@
 const BASE_BYTES: usize = 12 << 20;
 /// Most memory that a large request takes, in bytes: it is read, copied so that it outlives the read buffer, and copied again
 /// to be written to a member.
-const REQUEST_BYTES: usize = 3 * pg::MAX_QUERY;
+const REQUEST_BYTES: usize = 3 * pg::MAX_QUERY_BYTES;
 /// Most memory that a large answer takes, in bytes: it is read, and kept until its client has received it.
-const ANSWER_BYTES: usize = 2 * pg::MAX_ANSWER;
+const ANSWER_BYTES: usize = 2 * pg::MAX_ANSWER_BYTES;
 
 /// A permit to hold one large message, kept for as long as the message takes memory.
 pub type Share = SemaphoreGuardArc;
--- a/crates/driver/src/client/connection/incoming.rs
+++ b/crates/driver/src/client/connection/incoming.rs
@@ -5,16 +5,18 @@
 
 use beaconshore::interface::RequestId;
 
-use super::limits::{MAX_CONSECUTIVE_NON_REQUESTS, MAX_OPEN};
-use super::{CancelFlag, Connection, End, Fault, Left, Look, QueuedAnswer, Stage, Usage};
+use super::limits::{MAX_CONSECUTIVE_NON_REQUESTS, MAX_OPEN_REQUESTS};
+use super::{
+    AbandonedRequest, CancelFlag, CloseCause, ConnectionState, End, Input, QueuedAnswer, Stage, Usage,
+};
 use crate::budget::Share;
-use crate::pg::{self, sqlstate, BadRequest, Frontend, Opening, Severity};
+use crate::pg::{self, sqlstate, BadRequest, FirstMessage, FrontendMessage, Severity};
 
-impl Connection {
+impl ConnectionState {
     // ---- Input from the client ----
 
     /// Notes that bytes were read. `was_empty`: the buffer was empty before.
-    pub fn read(&mut self, count: usize, was_empty: bool, now: Instant) {
+    pub fn on_read(&mut self, count: usize, was_empty: bool, now: Instant) {
         self.pending_close = None;
         match self.stage {
             Stage::Closing(_) | Stage::Lingering => self.discarded_bytes += count,
@@ -24,121 +26,126 @@
     }
 
     /// Takes the next message from the buffer.
-    pub fn look<'b>(&mut self, bytes: &'b [u8], now: Instant) -> Look<'b> {
+    pub fn next_input<'b>(&mut self, bytes: &'b [u8], now: Instant) -> Input<'b> {
         match self.stage {
             // The reply to the opening is written before the next message is processed.
             Stage::Startup if self.output.is_none() => self.next_opening_input(bytes, now),
-            Stage::Serving if self.answers.len() < MAX_OPEN => self.next_message_input(bytes, now),
+            Stage::Serving if self.answers.len() < MAX_OPEN_REQUESTS => self.next_message_input(bytes, now),
             // No request is accepted once the connection is closing.
-            Stage::Closing(_) | Stage::Lingering if !bytes.is_empty() => Look::Passed(bytes.len()),
-            _ => Look::Nothing,
+            Stage::Closing(_) | Stage::Lingering if !bytes.is_empty() => Input::Consume(bytes.len()),
+            _ => Input::NotReady,
         }
     }
 
     /// Takes a message that comes before the connection is open for requests.
-    fn next_opening_input<'b>(&mut self, bytes: &'b [u8], now: Instant) -> Look<'b> {
-        match pg::opening(bytes) {
-            Ok(None) => Look::Nothing,
-            Ok(Some((Opening::Startup, length))) => {
+    fn next_opening_input<'b>(&mut self, bytes: &'b [u8], now: Instant) -> Input<'b> {
+        match pg::parse_first_message(bytes) {
+            Ok(None) => Input::NotReady,
+            Ok(Some((FirstMessage::Startup, length))) => {
                 self.stage = Stage::Serving;
                 let mut out = Vec::new();
-                pg::put_welcome(&mut out, self.cancel_key);
+                pg::put_startup_response(&mut out, self.cancel_key);
                 self.start_output(out, false, None, now);
-                Look::Login(&bytes[..length])
+                Input::Startup(&bytes[..length])
             }
-            Ok(Some((Opening::Encryption, length))) => {
+            Ok(Some((FirstMessage::EncryptionRequest, length))) => {
                 match self.count_non_request(None) {
                     true => self.start_output(vec![pg::NO_ENCRYPTION], false, None, now),
                     false => self.stage = Stage::Closing(End::Silent),
                 }
-                Look::Passed(length)
+                Input::Consume(length)
             }
             // A connection that carries a cancel request carries nothing else and gets no reply.
-            Ok(Some((Opening::Cancel(key), length))) => {
+            Ok(Some((FirstMessage::CancelRequest(key), length))) => {
                 self.stage = Stage::Closing(End::Silent);
-                Look::Cancel(key, length)
+                Input::Cancel(key, length)
             }
-            Err(broken) => {
-                self.end_with_error(Fault::Stream, broken.sqlstate(), broken.to_string());
-                Look::Passed(bytes.len())
+            Err(error) => {
+                self.end_with_error(CloseCause::ProtocolViolation, error.sqlstate(), error.to_string());
+                Input::Consume(bytes.len())
             }
         }
     }
 
     /// Takes a message that comes after the startup message.
-    fn next_message_input<'b>(&mut self, bytes: &'b [u8], now: Instant) -> Look<'b> {
-        let (message, length) = match pg::frontend(bytes) {
+    fn next_message_input<'b>(&mut self, bytes: &'b [u8], now: Instant) -> Input<'b> {
+        let (message, length) = match pg::parse_frontend(bytes) {
             Ok(Some(parsed)) => parsed,
-            Ok(None) => return Look::Nothing,
-            Err(broken) => {
-                self.end_with_error(Fault::Stream, broken.sqlstate(), broken.to_string());
-                return Look::Passed(bytes.len());
+            Ok(None) => return Input::NotReady,
+            Err(error) => {
+                self.end_with_error(CloseCause::ProtocolViolation, error.sqlstate(), error.to_string());
+                return Input::Consume(bytes.len());
             }
         };
         let mut out = Vec::new();
         match message {
-            Frontend::Terminate => {
+            FrontendMessage::Terminate => {
                 self.stage = Stage::Closing(End::Silent);
-                return Look::Passed(length);
+                return Input::Consume(length);
             }
-            Frontend::Ignored => {}
-            Frontend::Sync => {
+            FrontendMessage::Ignored => {}
+            FrontendMessage::Sync => {
                 self.skips_to_sync = false;
-                pg::put_ready(&mut out);
+                pg::put_ready_for_query(&mut out);
             }
-            Frontend::Extended if self.skips_to_sync => {}
-            Frontend::Extended => {
+            FrontendMessage::Extended if self.skips_to_sync => {}
+            FrontendMessage::Extended => {
                 self.skips_to_sync = true;
                 let code = sqlstate::FEATURE_NOT_SUPPORTED;
                 pg::put_error(&mut out, Severity::Error, code, "only simple queries are taken", None);
             }
-            Frontend::Query(query) if query.trim_ascii().is_empty() => {
-                pg::put_empty(&mut out);
-                pg::put_ready(&mut out);
+            FrontendMessage::Query(query) if query.trim_ascii().is_empty() => {
+                pg::put_empty_query_response(&mut out);
+                pg::put_ready_for_query(&mut out);
                 self.queue_bytes(out);
                 self.note_request(now);
-                return Look::Passed(length);
+                return Input::Consume(length);
             }
-            Frontend::Query(query) => return Look::Request(query, length),
+            FrontendMessage::Query(query) => return Input::Request(query, length),
         }
         if !out.is_empty() {
             self.queue_bytes(out);
         }
         self.skip_non_request(now);
-        Look::Passed(length)
+        Input::Consume(length)
     }
 
     /// Notes that the request that was just returned is accepted.
-    pub fn took(
+    pub fn request_accepted(
         &mut self,
         id: RequestId,
-        name: Rc<[u8]>,
+        client_id: Rc<[u8]>,
         cancel_flag: CancelFlag,
-        large: Option<Share>,
+        large_permit: Option<Share>,
         now: Instant,
     ) {
-        self.answers.push_back(QueuedAnswer::Pending { id, name, cancel_flag, _large_permit: large });
+        self.answers.push_back(QueuedAnswer::Pending {
+            id,
+            client_id,
+            cancel_flag,
+            _large_permit: large_permit,
+        });
         self.note_request(now);
     }
 
     /// Notes that the request that was just returned is rejected, and queues the error.
-    pub fn declined(&mut self, (code, text): BadRequest, now: Instant) {
+    pub fn request_rejected(&mut self, (code, text): BadRequest, now: Instant) {
         let mut out = Vec::new();
         pg::put_error(&mut out, Severity::Error, code, text, None);
-        pg::put_ready(&mut out);
+        pg::put_ready_for_query(&mut out);
         self.queue_bytes(out);
         self.skip_non_request(now);
     }
 
     /// Notes that the client has closed the connection or that it broke. Returns the open requests, which are
     /// abandoned, and drops all output.
-    pub fn gone(&mut self) -> Vec<Left> {
+    pub fn disconnected(&mut self) -> Vec<AbandonedRequest> {
         self.stage = Stage::Closed;
         self.output = None;
         let open = self.answers.drain(..).filter_map(|answer| match answer {
-            QueuedAnswer::Pending { id, name, cancel_flag, .. } => {
+            QueuedAnswer::Pending { id, client_id, cancel_flag, .. } => {
                 cancel_flag.cancel();
-                Some(Left { id, name })
+                Some(AbandonedRequest { id, client_id })
             }
             QueuedAnswer::Ready { .. } => None,
         });
@@ -147,9 +154,9 @@
 
     /// Cancels the open requests at the client's wish. Each is answered with that error and returned as
     /// abandoned.
-    pub fn cancelled(&mut self) -> Vec<Left> {
-        let mut left = Vec::new();
-        self.has_cancelled = true;
+    pub fn cancel_requests(&mut self) -> Vec<AbandonedRequest> {
+        let mut abandoned = Vec::new();
+        self.has_cancelled_requests = true;
         for answer in &mut self.answers {
             if matches!(answer, QueuedAnswer::Ready { .. }) {
                 continue;
@@ -157,15 +164,15 @@
             let mut bytes = Vec::new();
             let text = "cancelled as its client asked; the statement may have run";
             pg::put_error(&mut bytes, Severity::Error, sqlstate::QUERY_CANCELED, text, None);
-            pg::put_ready(&mut bytes);
-            if let QueuedAnswer::Pending { id, name, cancel_flag, .. } =
+            pg::put_ready_for_query(&mut bytes);
+            if let QueuedAnswer::Pending { id, client_id, cancel_flag, .. } =
                 std::mem::replace(answer, QueuedAnswer::Ready { bytes, _large_permit: None })
             {
                 cancel_flag.cancel();
-                left.push(Left { id, name });
+                abandoned.push(AbandonedRequest { id, client_id });
             }
         }
-        left
+        abandoned
     }
 
     /// Notes a request. The time for the next message starts now.
@@ -186,7 +193,7 @@
     fn skip_non_request(&mut self, now: Instant) {
         if !self.count_non_request(Some(now)) {
             let text = "too many messages in a row were no requests";
-            self.end_with_error(Fault::Stream, sqlstate::PROTOCOL_VIOLATION, text.into());
+            self.end_with_error(CloseCause::ProtocolViolation, sqlstate::PROTOCOL_VIOLATION, text.into());
         }
     }
 }
--- a/crates/driver/src/client/connection/steps.rs
+++ b/crates/driver/src/client/connection/interface.rs
@@ -13,40 +13,41 @@
     /// Until they have been idle for too long.
     Serving,
     /// The driver was asked to shut down: only while they are in use.
-    Leaving,
+    ShuttingDown,
     /// Until they have no open request.
     Closing,
 }
 
 /// Why a connection ended with an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum CloseCause {
     /// The client's byte stream could not be parsed.
-    Stream,
+    ProtocolViolation,
     /// There was no free descriptor for it.
-    Room,
+    NoCapacity,
     /// The driver shut down.
-    Ending,
+    Shutdown,
 }
 
 /// The next input in the buffer.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Look<'b> {
+pub enum Input<'b> {
     /// Nothing can be processed now: no message is complete, or the connection does not accept one yet.
-    Nothing,
+    NotReady,
     /// This many bytes have been processed.
-    Passed(usize),
+    Consume(usize),
     /// The startup message, which is to be consumed: it names the user and the database.
-    Login(&'b [u8]),
+    Startup(&'b [u8]),
     /// A request to cancel what is open on the connection with this key, and the length of the message.
     Cancel(u64, usize),
-    /// A statement, and the length of its message. `took` or `declined` reports whether it was accepted.
+    /// A statement, and the length of its message. `request_accepted` or `request_rejected` reports what
+    /// became of it.
     Request(&'b [u8], usize),
 }
 
 /// What to read from the socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reading {
+pub enum ReadMode {
     /// Messages.
     Messages,
     /// Messages that can't be processed yet: only as many bytes as a buffer of the usual size holds.
@@ -54,52 +55,52 @@
     /// Any bytes, which are discarded.
     Discard,
     /// Nothing for now.
-    Nothing,
+    Paused,
 }
 
 /// What a connection waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Wait {
     /// What is read meanwhile.
-    pub reading: Reading,
+    pub read_mode: ReadMode,
     /// Whether output waits for the socket.
-    pub writing: bool,
+    pub wants_write: bool,
     /// When the connection has to be examined again, whatever else happens.
-    pub until: Option<Instant>,
+    pub deadline: Option<Instant>,
     /// From when the connection counts as idle and may be evicted, and its rank among those.
-    pub rest: Option<(Instant, Rank)>,
+    pub idle_since: Option<(Instant, Rank)>,
     /// Whether requests are open, so that a disconnection has to be noticed even while nothing is read.
-    pub watches: bool,
+    pub watches_disconnect: bool,
 }
 
 /// The next step of a connection's actor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Todo {
+pub enum NextStep {
     /// Wait.
     Wait(Wait),
     /// Write the output that is ready, then ask again.
     Write,
-    /// Check once, without waiting, whether input has arrived; `read` or `nothing_came` reports the result.
-    LastLook,
-    /// Shut down the sending side; `shut` reports that it is done.
-    Shut,
+    /// Check once, without waiting, whether input has arrived; `on_read` or `on_no_input` reports the result.
+    CheckInput,
+    /// Shut down the sending side; `on_write_shutdown` reports that it is done.
+    ShutdownWrite,
     /// Close the socket: nothing is owed to the client.
     Close,
 }
 
 /// The answer to a request to close a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Room {
+pub enum Eviction {
     /// The connection closes.
-    Made,
+    Accepted,
     /// The connection is in use; another one has to be asked.
     InUse,
 }
 
 /// A request that its client has left or cancelled.
-pub struct Left {
+pub struct AbandonedRequest {
     /// The id that the driver gave it.
     pub id: RequestId,
     /// The id that the client gave it.
-    pub name: Rc<[u8]>,
+    pub client_id: Rc<[u8]>,
 }
--- a/crates/driver/src/client/connection/mod.rs
+++ b/crates/driver/src/client/connection/mod.rs
@@ -9,9 +9,9 @@
 //! its side. Nothing that is read after the shutdown is ever processed.
 
 mod incoming;
+mod interface;
 mod limits;
 mod schedule;
-mod steps;
 
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -23,11 +23,12 @@
 use crate::budget::Share;
 use crate::pg::{self, sqlstate, Severity};
 
+pub use interface::{AbandonedRequest, CloseCause, Eviction, Input, NextStep, Phase, ReadMode, Wait};
 use limits::SHUTDOWN_IDLE_TIMEOUT;
 pub use limits::{
-    DEPARTURE_CHECK, EVICTION_GRACE, LINGER, LINGER_BYTES, MAX_OPEN, MESSAGE_TIMEOUT, WRITE_WAIT,
+    DISCONNECT_CHECK_INTERVAL, EVICTION_GRACE, LINGER_TIMEOUT, MAX_LINGER_BYTES, MAX_OPEN_REQUESTS,
+    MESSAGE_TIMEOUT, OUTPUT_STALL_TIMEOUT,
 };
-pub use steps::{Fault, Left, Look, Phase, Reading, Room, Todo, Wait};
 
 /// How a connection ends.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -60,7 +61,7 @@
     Silent,
     /// With an error, since the client's first request may be on its way: the cause, the SQLSTATE and the
     /// message.
-    WithError(Fault, &'static str, &'static str),
+    WithError(CloseCause, &'static str, &'static str),
 }
 
 /// Whether a connection has carried a request.
@@ -75,7 +76,7 @@
 /// An answer that is owed.
 enum QueuedAnswer {
     /// The answer of a request that is still open.
-    Pending { id: RequestId, name: Rc<[u8]>, cancel_flag: CancelFlag, _large_permit: Option<Share> },
+    Pending { id: RequestId, client_id: Rc<[u8]>, cancel_flag: CancelFlag, _large_permit: Option<Share> },
     /// An answer that is ready to be written.
     Ready { bytes: Vec<u8>, _large_permit: Option<Share> },
 }
@@ -90,7 +91,7 @@
 }
 
 /// The state of a client's connection.
-pub struct Connection {
+pub struct ConnectionState {
     stage: Stage,
     /// Set while an idle connection is about to be closed.
     pending_close: Option<PendingClose>,
@@ -112,17 +113,17 @@
     /// Whether any answer was written whole.
     has_answered: bool,
     /// Whether requests were cancelled. Answers to them may still arrive.
-    has_cancelled: bool,
+    has_cancelled_requests: bool,
     /// Why the connection ended with an error.
-    fault: Option<Fault>,
+    close_cause: Option<CloseCause>,
     /// The key by which the client may cancel its requests.
     cancel_key: u64,
 }
 
-impl Connection {
+impl ConnectionState {
     /// The state of a connection that was just accepted.
     pub fn new(cancel_key: u64, now: Instant) -> Self {
-        Connection {
+        ConnectionState {
             stage: Stage::Startup,
             pending_close: None,
             usage: Usage::New,
@@ -134,22 +135,22 @@
             output: None,
             discarded_bytes: 0,
             has_answered: false,
-            has_cancelled: false,
-            fault: None,
+            has_cancelled_requests: false,
+            close_cause: None,
             cancel_key,
         }
     }
 
     /// Notes the answer to an open request. It is written after all answers before it. Returns the client's
     /// id of the request; None if the request is not open here.
-    pub fn answered(&mut self, of: RequestId, answer: Answer) -> Option<Rc<[u8]>> {
+    pub fn queue_answer(&mut self, of: RequestId, answer: Answer) -> Option<Rc<[u8]>> {
         let queued = self
             .answers
             .iter_mut()
             .find(|queued| matches!(queued, QueuedAnswer::Pending { id, .. } if *id == of))?;
         let (mut bytes, mut large_permit) = (Vec::new(), None);
         match answer {
-            Answer::Served(served) => (bytes, large_permit) = (served.messages, served.large),
+            Answer::Served(served) => (bytes, large_permit) = (served.messages, served.large_permit),
             Answer::Refused(retry_after) => {
                 let detail = (retry_after > 0).then(|| retry_after.div_ceil(1000).to_string());
                 let (code, text) = (sqlstate::TOO_MANY_CONNECTIONS, "refused; trying again is harmless");
@@ -160,37 +161,38 @@
                 pg::put_error(&mut bytes, Severity::Error, code, text, None);
             }
         }
-        pg::put_ready(&mut bytes);
+        pg::put_ready_for_query(&mut bytes);
         match std::mem::replace(queued, QueuedAnswer::Ready { bytes, _large_permit: large_permit }) {
-            QueuedAnswer::Pending { name, .. } => Some(name),
+            QueuedAnswer::Pending { client_id, .. } => Some(client_id),
             QueuedAnswer::Ready { .. } => None,
         }
     }
 
     /// Asks the connection to close, so that others get its descriptor. `begun`: the buffer holds part of a
     /// message.
-    pub fn make_room(&mut self, phase: Phase, begun: bool, now: Instant) -> Room {
+    pub fn evict(&mut self, phase: Phase, begun: bool, now: Instant) -> Eviction {
         match self.stage {
             Stage::Lingering => self.stage = Stage::Closed,
             Stage::Startup | Stage::Serving if !self.owes_output() && phase == Phase::Closing => {
                 self.expire(phase, begun);
             }
             Stage::Startup | Stage::Serving if !self.owes_output() => {
-                if phase == Phase::Leaving && now < self.since + SHUTDOWN_IDLE_TIMEOUT {
-                    return Room::InUse;
+                if phase == Phase::ShuttingDown && now < self.since + SHUTDOWN_IDLE_TIMEOUT {
+                    return Eviction::InUse;
                 }
                 let is_active = begun || self.usage == Usage::New;
                 let text = "no room for a connection without a request";
-                let with_error = PendingClose::WithError(Fault::Room, sqlstate::TOO_MANY_CONNECTIONS, text);
+                let with_error =
+                    PendingClose::WithError(CloseCause::NoCapacity, sqlstate::TOO_MANY_CONNECTIONS, text);
                 self.pending_close = Some(if is_active { with_error } else { PendingClose::Silent });
             }
-            _ => return Room::InUse,
+            _ => return Eviction::InUse,
         }
-        Room::Made
+        Eviction::Accepted
     }
 
     /// The bytes to write now. None if no output is ready.
-    pub fn output(&mut self, now: Instant) -> Option<&[u8]> {
+    pub fn pending_output(&mut self, now: Instant) -> Option<&[u8]> {
         if self.output.is_none() {
             if let Some(QueuedAnswer::Ready { .. }) = self.answers.front() {
                 if let Some(QueuedAnswer::Ready { bytes, _large_permit }) = self.answers.pop_front() {
@@ -209,7 +211,7 @@
     }
 
     /// Notes how many of these bytes were written.
-    pub fn wrote(&mut self, count: usize, now: Instant) {
+    pub fn on_written(&mut self, count: usize, now: Instant) {
         let Some(output) = &mut self.output else { return };
         output.written += count;
         self.output_progress_at = now;
@@ -222,16 +224,16 @@
     }
 
     /// Notes that the sending side is shut down.
-    pub fn shut(&mut self, now: Instant) {
+    pub fn on_write_shutdown(&mut self, now: Instant) {
         (self.stage, self.since) = (Stage::Lingering, now);
     }
 
     /// Notes that the last check for input found none.
-    pub fn nothing_came(&mut self) {
+    pub fn on_no_input(&mut self) {
         match self.pending_close.take() {
             None => {}
             Some(PendingClose::Silent) => self.stage = Stage::Closing(End::Silent),
-            Some(PendingClose::WithError(fault, code, text)) => self.end_with_error(fault, code, text.into()),
+            Some(PendingClose::WithError(cause, code, text)) => self.end_with_error(cause, code, text.into()),
         }
     }
 
@@ -241,25 +243,25 @@
     }
 
     /// The number of answers that are owed.
-    pub fn owed(&self) -> usize {
+    pub fn owed_answers(&self) -> usize {
         self.answers.len()
     }
 
     /// Whether requests were cancelled. Answers to them are dropped.
-    pub fn has_cancelled(&self) -> bool {
-        self.has_cancelled
+    pub fn has_cancelled_requests(&self) -> bool {
+        self.has_cancelled_requests
     }
 
     /// Why the connection ended with an error, if it did.
-    pub fn fault(&self) -> Option<Fault> {
-        self.fault
+    pub fn close_cause(&self) -> Option<CloseCause> {
+        self.close_cause
     }
 
     /// The whole length of the message that the buffer begins with; 0 while it is not known.
-    pub fn length(&self, bytes: &[u8]) -> usize {
+    pub fn message_length(&self, bytes: &[u8]) -> usize {
         match self.stage {
-            Stage::Startup => pg::opening_length(bytes),
-            _ => pg::length(bytes),
+            Stage::Startup => pg::first_message_length(bytes),
+            _ => pg::message_length(bytes),
         }
     }
 
@@ -281,8 +283,8 @@
     }
 
     /// Ends the connection with an error, after what is owed has been written.
-    fn end_with_error(&mut self, fault: Fault, code: &'static str, text: String) {
-        self.fault = Some(fault);
+    fn end_with_error(&mut self, cause: CloseCause, code: &'static str, text: String) {
+        self.close_cause = Some(cause);
         self.stage = Stage::Closing(End::Fatal(code, text));
     }
 }
--- a/crates/driver/src/client/connection/schedule.rs
+++ b/crates/driver/src/client/connection/schedule.rs
@@ -3,60 +3,70 @@
 use std::time::{Duration, Instant};
 
 use super::limits::{
-    EVICTION_GRACE, IDLE_TIMEOUT, LINGER, LINGER_BYTES, MAX_OPEN, MESSAGE_TIMEOUT, SHUTDOWN_IDLE_TIMEOUT,
-    WRITE_WAIT,
+    EVICTION_GRACE, IDLE_TIMEOUT, LINGER_TIMEOUT, MAX_LINGER_BYTES, MAX_OPEN_REQUESTS, MESSAGE_TIMEOUT,
+    OUTPUT_STALL_TIMEOUT, SHUTDOWN_IDLE_TIMEOUT,
+};
+use super::{
+    CloseCause, ConnectionState, End, NextStep, PendingClose, Phase, QueuedAnswer, ReadMode, Stage, Usage,
+    Wait,
 };
-use super::{Connection, End, Fault, PendingClose, Phase, QueuedAnswer, Reading, Stage, Todo, Usage, Wait};
 use crate::descriptors::Rank;
 use crate::pg::sqlstate;
 
-impl Connection {
+impl ConnectionState {
     // ---- The next step ----
 
     /// The next step of the connection's actor. `begun`: the buffer holds part of a message.
-    pub fn next(&mut self, phase: Phase, begun: bool, now: Instant) -> Todo {
+    pub fn next_step(&mut self, phase: Phase, begun: bool, now: Instant) -> NextStep {
         let is_idle = matches!(self.stage, Stage::Startup | Stage::Serving) && !self.owes_output();
         if is_idle && self.pending_close.is_none() && now >= self.idle_deadline(phase, begun) {
             self.expire(phase, begun);
         }
         match &self.stage {
-            Stage::Closed => Todo::Close,
-            Stage::Closing(End::Fatal(..)) if self.answers.is_empty() && self.output.is_none() => Todo::Write,
-            _ if self.output.is_some() && now >= self.output_progress_at + WRITE_WAIT => Todo::Close,
-            _ if self.pending_close.is_some() => Todo::LastLook,
-            Stage::Closing(_) if !self.owes_output() => Todo::Shut,
-            Stage::Lingering if now >= self.since + LINGER || self.discarded_bytes >= LINGER_BYTES => {
-                Todo::Close
+            Stage::Closed => NextStep::Close,
+            Stage::Closing(End::Fatal(..)) if self.answers.is_empty() && self.output.is_none() => {
+                NextStep::Write
+            }
+            _ if self.output.is_some() && now >= self.output_progress_at + OUTPUT_STALL_TIMEOUT => {
+                NextStep::Close
+            }
+            _ if self.pending_close.is_some() => NextStep::CheckInput,
+            Stage::Closing(_) if !self.owes_output() => NextStep::ShutdownWrite,
+            Stage::Lingering
+                if now >= self.since + LINGER_TIMEOUT || self.discarded_bytes >= MAX_LINGER_BYTES =>
+            {
+                NextStep::Close
             }
-            _ => Todo::Wait(self.wait(phase, begun, is_idle)),
+            _ => NextStep::Wait(self.wait(phase, begun, is_idle)),
         }
     }
 
     /// What the connection waits for.
     fn wait(&self, phase: Phase, begun: bool, is_idle: bool) -> Wait {
         let is_active = begun || self.usage == Usage::New;
-        let reading = match &self.stage {
-            Stage::Lingering => Reading::Discard,
-            Stage::Closing(_) if self.discarded_bytes < LINGER_BYTES => Reading::Discard,
-            Stage::Startup if self.output.is_none() => Reading::Messages,
-            Stage::Serving if self.answers.len() < MAX_OPEN => Reading::Messages,
-            Stage::Startup | Stage::Serving => Reading::Ahead,
-            _ => Reading::Nothing,
+        let read_mode = match &self.stage {
+            Stage::Lingering => ReadMode::Discard,
+            Stage::Closing(_) if self.discarded_bytes < MAX_LINGER_BYTES => ReadMode::Discard,
+            Stage::Startup if self.output.is_none() => ReadMode::Messages,
+            Stage::Serving if self.answers.len() < MAX_OPEN_REQUESTS => ReadMode::Messages,
+            Stage::Startup | Stage::Serving => ReadMode::Ahead,
+            _ => ReadMode::Paused,
         };
-        let until = match &self.stage {
-            _ if self.output.is_some() => Some(self.output_progress_at + WRITE_WAIT),
-            Stage::Lingering => Some(self.since + LINGER),
+        let deadline = match &self.stage {
+            _ if self.output.is_some() => Some(self.output_progress_at + OUTPUT_STALL_TIMEOUT),
+            Stage::Lingering => Some(self.since + LINGER_TIMEOUT),
             _ if is_idle => Some(self.idle_deadline(phase, begun)),
             _ => None,
         };
-        let rest = match &self.stage {
+        let idle_since = match &self.stage {
             Stage::Lingering => Some((self.since, Rank::Useless)),
             _ if is_idle && is_active => Some((self.since + EVICTION_GRACE, Rank::Useless)),
             _ if is_idle => Some((self.since, Rank::Used)),
             _ => None,
         };
-        let watches = self.answers.iter().any(|answer| matches!(answer, QueuedAnswer::Pending { .. }));
-        Wait { reading, writing: self.output.is_some(), until, rest, watches }
+        let watches_disconnect =
+            self.answers.iter().any(|answer| matches!(answer, QueuedAnswer::Pending { .. }));
+        Wait { read_mode, wants_write: self.output.is_some(), deadline, idle_since, watches_disconnect }
     }
 
     /// When a connection that owes nothing has been idle for too long.
@@ -68,7 +78,7 @@
                 Phase::Closing => Duration::ZERO,
                 _ if begun || self.usage == Usage::New => MESSAGE_TIMEOUT,
                 Phase::Serving => IDLE_TIMEOUT,
-                Phase::Leaving => SHUTDOWN_IDLE_TIMEOUT,
+                Phase::ShuttingDown => SHUTDOWN_IDLE_TIMEOUT,
             }
     }
 
@@ -76,7 +86,7 @@
     pub(super) fn expire(&mut self, phase: Phase, begun: bool) {
         // A request of which only a part has arrived is never forwarded, so that the client may send it to
         // another driver at once.
-        let shutdown_error = (Fault::Ending, sqlstate::CANNOT_CONNECT_NOW, "this router ends");
+        let shutdown_error = (CloseCause::Shutdown, sqlstate::CANNOT_CONNECT_NOW, "this router ends");
         match phase {
             Phase::Closing if begun => {
                 self.end_with_error(shutdown_error.0, shutdown_error.1, shutdown_error.2.into())
@@ -88,7 +98,7 @@
             _ if !begun => self.pending_close = Some(PendingClose::Silent),
             _ => {
                 let text = "the message has not come whole in time";
-                self.end_with_error(Fault::Stream, sqlstate::PROTOCOL_VIOLATION, text.into());
+                self.end_with_error(CloseCause::ProtocolViolation, sqlstate::PROTOCOL_VIOLATION, text.into());
             }
         }
     }
--- a/crates/driver/src/client/message.rs
+++ b/crates/driver/src/client/message.rs
@@ -10,28 +10,28 @@
 use crate::budget::Share;
 
 /// A message to the actor of a client's connection.
-pub enum ClientMail {
+pub enum ClientMessage {
     /// The final answer to a request of the connection.
     Answer(RequestId, Answer),
     /// Close the connection if it has no open request.
-    Close,
+    CloseIfIdle,
     /// Cancel the open requests: the client asked for that on another connection.
-    Cancel,
+    CancelRequests,
 }
 
 /// The answer of a member that served a request.
 #[derive(Default)]
-pub struct Served {
+pub struct MemberAnswer {
     /// The member's messages up to CommandComplete.
     pub messages: Vec<u8>,
     /// The answer's share of the memory for large messages, if it is large.
-    pub large: Option<Share>,
+    pub large_permit: Option<Share>,
 }
 
 /// A final answer.
 pub enum Answer {
     /// A member served the request.
-    Served(Served),
+    Served(MemberAnswer),
     /// The request was refused and never ran, so that a retry is harmless. The client is advised to wait this
     /// many microseconds before it (0: no advice).
     Refused(Micros),
--- a/crates/driver/src/client/mod.rs
+++ b/crates/driver/src/client/mod.rs
@@ -22,16 +22,17 @@
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 
 use crate::buffer::Buffer;
+use crate::decision::{ClientIdentity, ClientRequest, DecisionHandle, DecisionMessage, Statement};
 use crate::descriptors::{Permit, Rank, Rest};
-use crate::module::{Arrival, Login, Mail, ModuleHandle, Statement};
 use crate::pg::{self, sqlstate};
 use crate::stats::Counter;
 use crate::Node;
 
 use connection::{
-    Connection, Fault, Left, Look, Phase, Reading, Room, Todo, Wait, DEPARTURE_CHECK, MAX_OPEN,
+    AbandonedRequest, CloseCause, ConnectionState, Eviction, Input, NextStep, Phase, ReadMode, Wait,
+    DISCONNECT_CHECK_INTERVAL, MAX_OPEN_REQUESTS,
 };
-pub use message::{Answer, CancelFlag, ClientMail, Served};
+pub use message::{Answer, CancelFlag, ClientMessage, MemberAnswer};
 
 /// Messages of one connection that are processed before other actors get their turn.
 const MAX_MESSAGES_PER_TURN: usize = 16;
@@ -39,13 +40,13 @@
 /// The connections of all clients.
 pub struct Clients {
     node: Rc<Node>,
-    module: ModuleHandle,
+    decision: DecisionHandle,
     phase: Cell<Phase>,
     /// The latest deadline of a request, which is set when the driver begins to shut down: by then everything
     /// that it still accepts has to be answered.
-    ends: Cell<Micros>,
+    latest_deadline: Cell<Micros>,
     /// Senders of the connections' mailboxes, by the key that a cancel request names.
-    connections: RefCell<HashMap<u64, Sender<ClientMail>>>,
+    connections: RefCell<HashMap<u64, Sender<ClientMessage>>>,
     /// Gets a message when the last connection has ended.
     emptied: Sender<()>,
     /// Derives cancel keys from a random seed, so that nobody can guess them.
@@ -54,16 +55,19 @@
 
 impl Clients {
     /// A table without connections, and a receiver that gets a message when the last connection has ended.
-    pub fn new(node: Rc<Node>, module: ModuleHandle) -> (Rc<Self>, Receiver<()>) {
+    pub fn new(node: Rc<Node>, decision: DecisionHandle) -> (Rc<Self>, Receiver<()>) {
         let (emptied, on_emptied) = async_channel::bounded(1);
-        let (phase, ends, connections) =
+        let (phase, latest_deadline, connections) =
             (Cell::new(Phase::Serving), Cell::new(Micros::MAX), RefCell::default());
         let key_hasher = RandomState::new();
-        (Rc::new(Clients { node, module, phase, ends, connections, emptied, key_hasher }), on_emptied)
+        (
+            Rc::new(Clients { node, decision, phase, latest_deadline, connections, emptied, key_hasher }),
+            on_emptied,
+        )
     }
 
     /// Starts the actor of a connection.
-    pub fn welcome(self: &Rc<Self>, stream: Async<TcpStream>, permit: Permit) {
+    pub fn accept(self: &Rc<Self>, stream: Async<TcpStream>, permit: Permit) {
         self.node.stats.count(Counter::Accepted);
         // Data is sent at once. What the kernel held back would be lost if the connection is reset.
         let _ = stream.get_ref().set_nodelay(true);
@@ -79,8 +83,8 @@
             received_at: 0,
             sender,
             mailbox,
-            connection: Connection::new(key, Instant::now()),
-            login: Rc::default(),
+            connection: ConnectionState::new(key, Instant::now()),
+            identity: Rc::default(),
         };
         self.node.spawn(async move {
             if let Err(error) = actor.serve().await {
@@ -105,16 +109,16 @@
 
     /// Closes connections as they become idle. Requests that are still accepted have to be answered within
     /// the given time.
-    pub fn leave(&self, left: Duration) {
-        self.phase.set(Phase::Leaving);
-        self.ends.set(self.node.clock.now() + left.as_micros() as Micros);
+    pub fn start_shutdown(&self, time_left: Duration) {
+        self.phase.set(Phase::ShuttingDown);
+        self.latest_deadline.set(self.node.clock.now() + time_left.as_micros() as Micros);
         self.node.descriptors.clients.close_idle();
     }
 
     /// Has every open request answered, and closes every connection.
-    pub fn close(&self) {
+    pub fn close_all(&self) {
         self.phase.set(Phase::Closing);
-        self.module.send(Mail::Finish);
+        self.decision.send(DecisionMessage::FailOpenRequests);
         self.node.descriptors.clients.close_idle();
     }
 
@@ -128,7 +132,7 @@
 enum WakeReason {
     Input(io::Result<usize>),
     Output(io::Result<()>),
-    Message(ClientMail),
+    Message(ClientMessage),
     Deadline,
 }
 
@@ -139,11 +143,11 @@
     buffer: Buffer,
     /// The earliest time at which the newest bytes may have arrived.
     received_at: Micros,
-    sender: Sender<ClientMail>,
-    mailbox: Receiver<ClientMail>,
-    connection: Connection,
+    sender: Sender<ClientMessage>,
+    mailbox: Receiver<ClientMessage>,
+    connection: ConnectionState,
     /// What the client said of itself in its startup message.
-    login: Rc<Login>,
+    identity: Rc<ClientIdentity>,
 }
 
 impl ConnectionActor {
@@ -159,15 +163,15 @@
                 future::yield_now().await;
                 continue;
             }
-            match self.connection.next(phase, begun, Instant::now()) {
-                Todo::Close => return Ok(()),
-                Todo::Write => {}
-                Todo::Shut => {
+            match self.connection.next_step(phase, begun, Instant::now()) {
+                NextStep::Close => return Ok(()),
+                NextStep::Write => {}
+                NextStep::ShutdownWrite => {
                     self.stream.get_ref().shutdown(Shutdown::Write)?;
-                    self.connection.shut(Instant::now());
+                    self.connection.on_write_shutdown(Instant::now());
                 }
-                Todo::LastLook => self.check_for_input().await?,
-                Todo::Wait(wait) => {
+                NextStep::CheckInput => self.check_for_input().await?,
+                NextStep::Wait(wait) => {
                     let wake = self.wait(wait).await;
                     self.handle_wake(wake, wait)?;
                 }
@@ -179,36 +183,40 @@
     fn process_messages(&mut self) -> bool {
         for _ in 0..MAX_MESSAGES_PER_TURN {
             let now = Instant::now();
-            match self.connection.look(self.buffer.filled(), now) {
-                Look::Nothing => return false,
-                Look::Passed(length) => drop(self.buffer.consume(length)),
-                Look::Login(startup) => {
-                    let (user, database) = pg::login(startup);
+            match self.connection.next_input(self.buffer.filled(), now) {
+                Input::NotReady => return false,
+                Input::Consume(length) => drop(self.buffer.consume(length)),
+                Input::Startup(startup) => {
+                    let (user, database) = pg::startup_parameters(startup);
                     let address = self.stream.get_ref().peer_addr().ok().map(|peer| peer.ip());
-                    self.login = Rc::new(Login { address, user: user.into(), database: database.into() });
+                    self.identity =
+                        Rc::new(ClientIdentity { address, user: user.into(), database: database.into() });
                     let length = startup.len();
                     drop(self.buffer.consume(length));
                 }
-                Look::Cancel(key, length) => {
+                Input::Cancel(key, length) => {
                     drop(self.buffer.consume(length));
                     self.clients.connections.borrow().get(&key).into_iter().for_each(|connection| {
-                        let _ = connection.try_send(ClientMail::Cancel);
+                        let _ = connection.try_send(ClientMessage::CancelRequests);
                     });
                 }
-                Look::Request(query, length) => match self.read_request(query) {
-                    Ok(arrival) => {
+                Input::Request(query, length) => match self.read_request(query) {
+                    Ok(client_request) => {
                         // A large message keeps its share of the memory until its request is answered.
-                        let large = self.buffer.consume(length);
-                        let (id, name, cancel_flag) =
-                            (arrival.id, arrival.name.clone(), arrival.cancel_flag.clone());
-                        self.connection.took(id, name, cancel_flag, large, now);
+                        let large_permit = self.buffer.consume(length);
+                        let (id, client_id, cancel_flag) = (
+                            client_request.id,
+                            client_request.client_id.clone(),
+                            client_request.cancel_flag.clone(),
+                        );
+                        self.connection.request_accepted(id, client_id, cancel_flag, large_permit, now);
                         self.clients.node.stats.count(Counter::Requests);
-                        self.clients.module.send(Mail::Request(Box::new(arrival)));
+                        self.clients.decision.send(DecisionMessage::Request(Box::new(client_request)));
                     }
                     Err(refusal) => {
                         drop(self.buffer.consume(length));
                         self.clients.node.stats.count(Counter::BadRequests);
-                        self.connection.declined(refusal, now);
+                        self.connection.request_rejected(refusal, now);
                     }
                 },
             }
@@ -219,11 +227,11 @@
     /// Writes the output that is ready, as far as the socket takes it. True if anything was written.
     fn flush(&mut self) -> io::Result<bool> {
         let mut wrote = false;
-        while let Some(bytes) = self.connection.output(Instant::now()) {
+        while let Some(bytes) = self.connection.pending_output(Instant::now()) {
             match self.stream.get_ref().write(bytes) {
                 Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
                 Ok(count) => {
-                    self.connection.wrote(count, Instant::now());
+                    self.connection.on_written(count, Instant::now());
                     wrote = true;
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
@@ -235,65 +243,68 @@
     }
 
     /// Builds the request for the decision module. The statement is copied, since it outlives the buffer.
-    fn read_request(&self, query: &[u8]) -> Result<Arrival, pg::BadRequest> {
+    fn read_request(&self, query: &[u8]) -> Result<ClientRequest, pg::BadRequest> {
         let node = &self.clients.node;
-        let request = pg::request(query)?;
-        let class = node.site.dialect.classes.iter().position(|name| name == request.class);
-        let class = class.ok_or((sqlstate::UNDEFINED_OBJECT, "the request's class is not known"))?;
-        let class_settings = &node.site.settings.classes[class];
-        if matches!(class_settings.effect, Effect::Keyed(..)) && !request.keyed {
+        let request = pg::parse_request(query)?;
+        let class_index = node.site.dialect.classes.iter().position(|name| name == request.class);
+        let class_index =
+            class_index.ok_or((sqlstate::UNDEFINED_OBJECT, "the request's class is not known"))?;
+        let class_settings = &node.site.settings.classes[class_index];
+        if matches!(class_settings.effect, Effect::Keyed(..)) && !request.has_idempotency_key {
             return Err((sqlstate::INVALID_PARAMETER_VALUE, "a request of this class needs a key"));
         }
         let in_session = matches!(class_settings.consistency, Consistency::Write | Consistency::Session);
-        let name: Rc<[u8]> = request.id.as_bytes().into();
+        let client_id: Rc<[u8]> = request.id.as_bytes().into();
         let now = node.clock.now();
-        if !node.ids.take(&name, now) {
+        if !node.ids.take(&client_id, now) {
             return Err((sqlstate::DUPLICATE_OBJECT, "another request has this id"));
         }
         let id = node.requests.get() + 1;
         node.requests.set(id);
         // A request that had to wait for earlier answers before it was read starts to wait now.
-        let waits_since = if self.connection.owed() + 1 < MAX_OPEN { self.received_at } else { now };
+        let waits_since =
+            if self.connection.owed_answers() + 1 < MAX_OPEN_REQUESTS { self.received_at } else { now };
         // A class limits how long a client waits over all its retries.
         let wait = (u64::from(request.wait_ms) * 1000).min(class_settings.deadline);
-        Ok(Arrival {
+        Ok(ClientRequest {
             id: RequestId(id),
-            name,
-            class,
+            client_id,
+            class_index,
             group: request.group,
             session: in_session.then(|| session_id(request.key)),
-            ends: (waits_since + wait).min(self.clients.ends.get()),
-            repeat: request.repeat,
-            after: request.after,
-            statement: Rc::new(Statement { text: query.into(), wait_at: request.wait_at }),
+            deadline: (waits_since + wait).min(self.clients.latest_deadline.get()),
+            is_repeat: request.is_repeat,
+            min_position_ms: request.min_position_ms,
+            statement: Rc::new(Statement { text: query.into(), wait_range: request.wait_range }),
             cancel_flag: CancelFlag::default(),
             client: self.sender.clone(),
-            login: self.login.clone(),
+            identity: self.identity.clone(),
         })
     }
 
     /// Waits for one of the given conditions.
     async fn wait(&mut self, wait: Wait) -> WakeReason {
-        let length = self.connection.length(self.buffer.filled());
-        let discards = wait.reading == Reading::Discard;
+        let length = self.connection.message_length(self.buffer.filled());
+        let discards = wait.read_mode == ReadMode::Discard;
         if discards {
             self.buffer = Buffer::default();
         }
         let lacks_room = !discards && self.buffer.lacks_room(length);
-        let reads = match wait.reading {
-            Reading::Messages | Reading::Discard => true,
+        let reads = match wait.read_mode {
+            ReadMode::Messages | ReadMode::Discard => true,
             // Enough to notice that the client has closed, if it does so before it sends anything.
-            Reading::Ahead => self.buffer.has_room() && !lacks_room,
-            Reading::Nothing => false,
+            ReadMode::Ahead => self.buffer.has_room() && !lacks_room,
+            ReadMode::Paused => false,
         };
         let now = Instant::now();
-        let (eviction_start, registration) = match wait.rest {
+        let (eviction_start, registration) = match wait.idle_since {
             Some((from, _)) if now < from => (Some(from), None),
-            rest => (None, rest.map(|(_, rank)| self.register_idle(rank))),
+            idle_since => (None, idle_since.map(|(_, rank)| self.register_idle(rank))),
         };
         // Where input may stay unread, the socket is polled for a disconnection behind it.
-        let disconnect_check = (wait.watches && (!reads || lacks_room)).then(|| now + DEPARTURE_CHECK);
-        let until = [wait.until, eviction_start, disconnect_check].into_iter().flatten().min();
+        let disconnect_check =
+            (wait.watches_disconnect && (!reads || lacks_room)).then(|| now + DISCONNECT_CHECK_INTERVAL);
+        let wake_at = [wait.deadline, eviction_start, disconnect_check].into_iter().flatten().min();
         let message = async {
             match self.mailbox.recv().await {
                 Ok(message) => WakeReason::Message(message),
@@ -316,13 +327,13 @@
             WakeReason::Input(self.buffer.fill(length, &mut &self.stream).await)
         };
         let output = async {
-            match wait.writing {
+            match wait.wants_write {
                 true => WakeReason::Output(self.stream.writable().await),
                 false => future::pending().await,
             }
         };
         let time = async {
-            match until {
+            match wake_at {
                 Some(at) => drop(Timer::at(at).await),
                 None => future::pending().await,
             }
@@ -337,31 +348,31 @@
     fn handle_wake(&mut self, wake: WakeReason, wait: Wait) -> io::Result<()> {
         let now = Instant::now();
         match wake {
-            WakeReason::Input(count) => self.input_received(count?, wait.reading == Reading::Discard)?,
+            WakeReason::Input(count) => self.input_received(count?, wait.read_mode == ReadMode::Discard)?,
             WakeReason::Output(ready) => ready?,
-            WakeReason::Deadline if wait.watches && self.has_disconnected() => {
+            WakeReason::Deadline if wait.watches_disconnect && self.has_disconnected() => {
                 return Err(io::ErrorKind::ConnectionAborted.into())
             }
             WakeReason::Deadline => {}
-            WakeReason::Message(ClientMail::Answer(id, answer)) => {
+            WakeReason::Message(ClientMessage::Answer(id, answer)) => {
                 let node = &self.clients.node;
-                match self.connection.answered(id, answer) {
-                    Some(name) => node.ids.release(name, node.clock.now()),
+                match self.connection.queue_answer(id, answer) {
+                    Some(client_id) => node.ids.release(client_id, node.clock.now()),
                     None => node.stats.check(
-                        self.connection.has_cancelled(),
+                        self.connection.has_cancelled_requests(),
                         "an answer belongs to a request of the connection that it reaches",
                     ),
                 }
             }
-            WakeReason::Message(ClientMail::Close) => {
+            WakeReason::Message(ClientMessage::CloseIfIdle) => {
                 let begun = !self.buffer.filled().is_empty();
-                if self.connection.make_room(self.clients.phase.get(), begun, now) == Room::InUse {
+                if self.connection.evict(self.clients.phase.get(), begun, now) == Eviction::InUse {
                     self.clients.node.descriptors.clients.asked_in_vain();
                 }
             }
-            WakeReason::Message(ClientMail::Cancel) => {
-                let left = self.connection.cancelled();
-                self.report_abandoned(left);
+            WakeReason::Message(ClientMessage::CancelRequests) => {
+                let abandoned = self.connection.cancel_requests();
+                self.report_abandoned(abandoned);
             }
         }
         Ok(())
@@ -378,7 +389,7 @@
         if discards {
             self.buffer = Buffer::default();
         }
-        self.connection.read(count, was_empty, Instant::now());
+        self.connection.on_read(count, was_empty, Instant::now());
         Ok(())
     }
 
@@ -391,7 +402,7 @@
                 self.input_received(count?, false)?;
                 self.clients.node.descriptors.clients.asked_in_vain();
             }
-            None => self.connection.nothing_came(),
+            None => self.connection.on_no_input(),
         }
         Ok(())
     }
@@ -406,26 +417,26 @@
 
     /// Abandons the open requests, since the client is gone.
     fn abandon_requests(&mut self) {
-        let left = self.connection.gone();
-        self.report_abandoned(left);
+        let abandoned = self.connection.disconnected();
+        self.report_abandoned(abandoned);
     }
 
     /// Reports requests that their client has left to the decision module, and releases their ids.
-    fn report_abandoned(&self, left: Vec<Left>) {
+    fn report_abandoned(&self, abandoned: Vec<AbandonedRequest>) {
         let node = &self.clients.node;
-        for Left { id, name } in left {
-            self.clients.module.send(Mail::HungUp(id));
-            node.ids.release(name, node.clock.now());
+        for AbandonedRequest { id, client_id } in abandoned {
+            self.clients.decision.send(DecisionMessage::RequestAbandoned(id));
+            node.ids.release(client_id, node.clock.now());
         }
     }
 
     /// Counts how the connection ended.
     fn count_end(&self) {
         let stats = &self.clients.node.stats;
-        match self.connection.fault() {
-            Some(Fault::Stream) => stats.count(Counter::BadStreams),
-            Some(Fault::Room) => stats.count(Counter::NoRoom),
-            Some(Fault::Ending) => stats.count(Counter::CutShort),
+        match self.connection.close_cause() {
+            Some(CloseCause::ProtocolViolation) => stats.count(Counter::BadStreams),
+            Some(CloseCause::NoCapacity) => stats.count(Counter::NoRoom),
+            Some(CloseCause::Shutdown) => stats.count(Counter::CutShort),
             None if self.connection.is_unanswered() => stats.count(Counter::Unanswered),
             None => {}
         }
@@ -435,7 +446,11 @@
     /// Dropping the result withdraws that.
     fn register_idle(&self, rank: Rank) -> Rest {
         let sender = self.sender.clone();
-        self.clients.node.descriptors.clients.rest(rank, move || drop(sender.try_send(ClientMail::Close)))
+        self.clients
+            .node
+            .descriptors
+            .clients
+            .rest(rank, move || drop(sender.try_send(ClientMessage::CloseIfIdle)))
     }
 }
 
--- a/crates/driver/src/control.rs
+++ b/crates/driver/src/control.rs
@@ -13,8 +13,8 @@
 use futures_lite::Stream;
 
 use crate::config::Config;
-use crate::member::MemberMail;
-use crate::module::{Module, ModuleHandle};
+use crate::decision::{DecisionActor, DecisionHandle};
+use crate::member::MemberMessage;
 use crate::{discovery, peers, reload, Node};
 
 /// Connects a driver to the members on its list.
@@ -23,17 +23,17 @@
     fn start(
         &self,
         node: &Rc<Node>,
-        module: &ModuleHandle,
+        module: &DecisionHandle,
         id: MemberId,
         address: SocketAddr,
-    ) -> Sender<MemberMail>;
+    ) -> Sender<MemberMessage>;
 }
 
 /// The control plane of a driver. Its actors run while its executor is being run.
 pub struct Control {
     executor: Rc<LocalExecutor<'static>>,
     node: Rc<Node>,
-    module: ModuleHandle,
+    module: DecisionHandle,
 }
 
 impl Control {
@@ -51,7 +51,7 @@
         let executor = Rc::new(LocalExecutor::new());
         let node = Rc::new(Node::new(&config, Rc::downgrade(&executor)));
         let peers = socket.map(|socket| peers::start(&node, socket, &config));
-        let (module, handle) = Module::new(node.clone(), &config, peers.as_ref(), transport);
+        let (module, handle) = DecisionActor::new(node.clone(), &config, peers.as_ref(), transport);
         node.spawn(module.run(config.known.clone()));
         peers.into_iter().for_each(|peers| node.spawn(peers.run(handle.clone())));
         let (discovery_addresses, addresses) = async_channel::unbounded();
@@ -71,7 +71,7 @@
     }
 
     /// The handle of the actor of the decision module.
-    pub fn module(&self) -> &ModuleHandle {
+    pub fn module(&self) -> &DecisionHandle {
         &self.module
     }
 }
--- a/crates/driver/src/module/mod.rs
+++ b/crates/driver/src/decision/mod.rs
@@ -1,9 +1,9 @@
 //! The actor around the decision module. It owns the decision module with its planners and the table of open
-//! requests (`requests`, which does no I/O), and is the only place where messages from other actors become
-//! events of the decision module and its actions become messages to other actors.
+//! requests (`open_requests`, which does no I/O), and is the only place where messages from other actors
+//! become events of the decision module and its actions become messages to other actors.
 
 pub mod message;
-pub mod requests;
+pub mod open_requests;
 
 use std::collections::hash_map::Entry::Occupied;
 use std::collections::{BTreeMap, HashMap};
@@ -21,19 +21,19 @@
 use futures_lite::future;
 use log::{info, warn};
 
-use crate::client::{Answer, ClientMail};
+use crate::client::{Answer, ClientMessage};
 use crate::config::Config;
 use crate::control::MemberTransport;
 use crate::listing::{Instance, Lifecycle, Listing, LEADER};
-use crate::member::{Attempt, AttemptEnd, MemberMail};
+use crate::member::{Attempt, AttemptEnd, MemberMessage};
 use crate::meter::Work;
 use crate::peers::{self, MemberState, MemberTag, Outgoing, PeerMessage, Peers};
 use crate::pg;
 use crate::stats::Counter;
 use crate::Node;
 
-pub use message::{Arrival, Confirmed, Login, Mail, ModuleHandle, Statement};
-use requests::{Arrived, Open, Requests, Sending};
+pub use message::{ClientIdentity, ClientRequest, Confirmation, DecisionHandle, DecisionMessage, Statement};
+use open_requests::{AddResult, AttemptStart, OpenRequest, OpenRequests};
 
 /// Membership lists that the mailbox holds. Discovery waits when it is full, so that the decision module
 /// never waits for discovery.
@@ -50,21 +50,21 @@
     tag: MemberTag,
     address: SocketAddr,
     /// Its actor, which is started by the first message to it.
-    actor: Option<Sender<MemberMail>>,
+    actor: Option<Sender<MemberMessage>>,
 }
 
 /// The actor that runs the decision module.
-pub struct Module {
+pub struct DecisionActor {
     node: Rc<Node>,
     router: Steering,
-    mailbox: Receiver<Mail>,
+    mailbox: Receiver<DecisionMessage>,
     lists: Receiver<Listing>,
     /// Messages from other drivers, each with the number of the driver that sent it.
     peer_messages: Receiver<(u32, PeerMessage)>,
-    handle: ModuleHandle,
+    handle: DecisionHandle,
     peers: Option<Sender<Outgoing>>,
     transport: Rc<dyn MemberTransport>,
-    open_requests: Requests<Sender<ClientMail>>,
+    requests: OpenRequests<Sender<ClientMessage>>,
     /// Members by the id that this driver gave them, until the decision module forgets them.
     members: HashMap<MemberId, KnownMember>,
     /// Ids by the members' names in the membership list.
@@ -80,26 +80,29 @@
     last_sweep: Micros,
 }
 
-impl Module {
+impl DecisionActor {
     /// Creates the actor and the handle that reaches it.
     pub fn new(
         node: Rc<Node>,
         config: &Config,
         peers: Option<&Peers>,
         transport: Rc<dyn MemberTransport>,
-    ) -> (Self, ModuleHandle) {
+    ) -> (Self, DecisionHandle) {
         let (mailbox_sender, mailbox) = async_channel::unbounded();
         let (list_sender, lists) = async_channel::bounded(LIST_MAILBOX_CAPACITY);
         let (peer_message_sender, peer_messages) = async_channel::bounded(PEER_MAILBOX_CAPACITY);
-        let handle =
-            ModuleHandle { mailbox: mailbox_sender, lists: list_sender, peer_messages: peer_message_sender };
+        let handle = DecisionHandle {
+            mailbox: mailbox_sender,
+            lists: list_sender,
+            peer_messages: peer_message_sender,
+        };
         let router = {
             let (settings, plans) = (node.site.settings.clone(), config.plans.clone());
             Steering::new(settings, plans, config.seed, node.clock.now())
         };
-        let (open_requests, members, ids, tags, ids_assigned, timer_at, last_sweep) = Default::default();
+        let (requests, members, ids, tags, ids_assigned, timer_at, last_sweep) = Default::default();
         let (peers, returned_handle) = (peers.map(Peers::mailbox), handle.clone());
-        let actor = Module {
+        let actor = DecisionActor {
             node,
             router,
             mailbox,
@@ -108,7 +111,7 @@
             handle,
             peers,
             transport,
-            open_requests,
+            requests,
             members,
             ids,
             tags,
@@ -123,7 +126,7 @@
     pub async fn run(mut self, cached: Listing) {
         enum Wake {
             List(Listing),
-            Mail(Mail),
+            Message(DecisionMessage),
             PeerMessage(u32, PeerMessage),
             Timer,
         }
@@ -146,7 +149,7 @@
                 (&mut timer).await;
                 Ok(Wake::Timer)
             };
-            let next_message = async { mailbox.recv().await.map(Wake::Mail) };
+            let next_message = async { mailbox.recv().await.map(Wake::Message) };
             let peer_message =
                 async { peer_messages.recv().await.map(|(from, message)| Wake::PeerMessage(from, message)) };
             // A membership list goes first, since it may forbid sends; a timer that is due does not wait
@@ -157,7 +160,7 @@
                     let kind = if listing.reset { ListKind::Full } else { ListKind::Delta };
                     node.meter.measure(Work::List, || self.on_list(kind, listing));
                 }
-                Ok(Wake::Mail(message)) => node.meter.measure(Work::Traffic, || self.on_message(message)),
+                Ok(Wake::Message(message)) => node.meter.measure(Work::Traffic, || self.on_message(message)),
                 Ok(Wake::PeerMessage(from, message)) => {
                     node.meter.measure(Work::PeerMessages, || self.on_peer_message(from, message));
                 }
@@ -175,24 +178,26 @@
         }
     }
 
-    fn on_message(&mut self, message: Mail) {
+    fn on_message(&mut self, message: DecisionMessage) {
         match message {
-            Mail::Request(arrival) => self.on_request(*arrival),
-            Mail::HungUp(id) => self.on_request_abandoned(id),
-            Mail::AttemptEnded(end) => self.on_attempt_end(*end),
-            Mail::ProbeEnded(member, outcome, mut report) => {
+            DecisionMessage::Request(client_request) => self.on_request(*client_request),
+            DecisionMessage::RequestAbandoned(id) => self.on_request_abandoned(id),
+            DecisionMessage::AttemptEnded(end) => self.on_attempt_end(*end),
+            DecisionMessage::ProbeEnded(member, outcome, mut report) => {
                 report.position = report.position.map(|p| self.node.skew.ours(p));
                 self.handle(&Event::ProbeEnded { member, outcome, report });
             }
-            Mail::Finish => self.fail_open_requests(),
-            Mail::Routes(policy) => self.router.reload_routes(policy, self.node.clock.now()),
-            Mail::Confirm(request, member, reply) => {
-                let (at, lists) = (self.node.clock.now(), self.node.lists.get());
+            DecisionMessage::FailOpenRequests => self.fail_open_requests(),
+            DecisionMessage::ReplaceRoutes(policy) => {
+                self.router.reload_routes(policy, self.node.clock.now())
+            }
+            DecisionMessage::ConfirmAttempt(request, member, reply) => {
+                let (decided_at, list_version) = (self.node.clock.now(), self.node.lists.get());
                 // The client may have left without the message about it being read yet: the cancel flag
                 // tells.
-                let allowed =
-                    self.open_requests.is_wanted(request) && self.router.confirm(at, request, member);
-                let _ = reply.try_send(Confirmed { allowed, at, lists });
+                let is_allowed =
+                    self.requests.is_awaited(request) && self.router.confirm(decided_at, request, member);
+                let _ = reply.try_send(Confirmation { is_allowed, decided_at, list_version });
             }
         }
     }
@@ -245,7 +250,7 @@
         };
         if let Some(known) = self.members.get_mut(&member).filter(|known| known.address != address) {
             known.address = address;
-            known.actor.iter().for_each(|actor| drop(actor.try_send(MemberMail::Address(address))));
+            known.actor.iter().for_each(|actor| drop(actor.try_send(MemberMessage::AddressChanged(address))));
         }
         let zone = self.node.site.dialect.zones.iter().position(|name| *name == instance.zone);
         ListEntry {
@@ -265,67 +270,79 @@
     }
 
     /// Opens a request and passes it to the decision module, by way of the routes if there are any.
-    fn on_request(&mut self, arrival: Arrival) {
+    fn on_request(&mut self, client_request: ClientRequest) {
         let now = self.node.clock.now();
-        let Arrival { id, class, session, ends, repeat, statement, client, login, cancel_flag, .. } = arrival;
+        let ClientRequest {
+            id,
+            class_index,
+            session,
+            deadline,
+            is_repeat,
+            statement,
+            client,
+            identity,
+            cancel_flag,
+            ..
+        } = client_request;
         let routed = self.router.is_routed().then(|| statement.clone());
-        match self.open_requests.arrive(id, client, statement, ends, cancel_flag) {
-            Arrived::Taken => {}
-            Arrived::Left => return self.node.stats.count(Counter::HungUp),
-            Arrived::Twice => self.node.stats.check(false, "a request is accepted once"),
+        match self.requests.add(id, client, statement, deadline, cancel_flag) {
+            AddResult::Opened => {}
+            AddResult::ClientGone => return self.node.stats.count(Counter::HungUp),
+            AddResult::DuplicateId => self.node.stats.check(false, "a request is accepted once"),
         }
         let request = Request {
             id,
-            class,
-            group: GroupId(arrival.group),
+            class: class_index,
+            group: GroupId(client_request.group),
             session,
-            budget: ends.saturating_sub(now),
-            repeat,
-            last_write_ago: arrival
-                .after
+            budget: deadline.saturating_sub(now),
+            repeat: is_repeat,
+            last_write_ago: client_request
+                .min_position_ms
                 .map(|ms| now.saturating_sub(self.node.skew.ours(ms.saturating_mul(1000)))),
         };
         let Some(routed) = routed else { return self.handle_at(now, &Event::Request(request)) };
-        let connection = Connection { client: login.address, user: &login.user, database: &login.database };
+        let connection =
+            Connection { client: identity.address, user: &identity.user, database: &identity.database };
         let mut actions = Vec::new();
-        self.router.request(now, &request, connection, pg::statement(&routed.text), &mut actions);
+        self.router.request(now, &request, connection, pg::strip_request_comment(&routed.text), &mut actions);
         actions.into_iter().for_each(|action| self.execute(now, action));
     }
 
     /// Ends the attempt of a request whose client has left, and tells the decision module.
     fn on_request_abandoned(&mut self, id: RequestId) {
         // The request is no longer open if its answer crossed this message.
-        let Some(in_flight_at) = self.open_requests.leave(id) else { return };
+        let Some(in_flight_at) = self.requests.abandon(id) else { return };
         self.node.stats.count(Counter::HungUp);
         if let Some(member) = in_flight_at {
-            self.send_to_member(member, MemberMail::Cancel(id));
+            self.send_to_member(member, MemberMessage::Cancel(id));
         }
         self.handle(&Event::ClientDisconnected(id));
     }
 
     /// Fails all open requests: whether their statements ran is not known.
     fn fail_open_requests(&mut self) {
-        for (id, open_request) in self.open_requests.finish() {
+        for (id, open_request) in self.requests.drain() {
             open_request
-                .out
+                .in_flight_at
                 .into_iter()
-                .for_each(|member| self.send_to_member(member, MemberMail::Cancel(id)));
+                .for_each(|member| self.send_to_member(member, MemberMessage::Cancel(id)));
             self.handle(&Event::ClientDisconnected(id));
             self.node.stats.count(Counter::Failed);
-            if !open_request.tried {
+            if !open_request.was_tried {
                 self.node.stats.count(Counter::Untried);
             }
-            let _ = open_request.client.try_send(ClientMail::Answer(id, Answer::Failed));
+            let _ = open_request.client.try_send(ClientMessage::Answer(id, Answer::Failed));
         }
     }
 
     /// Counts the end of an attempt, answers its request if a member served it, and tells the decision
     /// module.
     fn on_attempt_end(&mut self, end: AttemptEnd) {
-        let AttemptEnd { request, member, outcome, served, told, took } = end;
+        let AttemptEnd { request, member, outcome, answer, self_report, duration } = end;
         self.node
             .stats
-            .check(self.open_requests.ended(request, member), "an attempt that ends was in flight");
+            .check(self.requests.end_attempt(request, member), "an attempt that ends was in flight");
         let counter = match outcome {
             Outcome::Error => Some(Counter::Errors),
             Outcome::Rejected => Some(Counter::TurnedAway),
@@ -339,10 +356,10 @@
         };
         counter.into_iter().for_each(|counter| self.node.stats.count(counter));
         if outcome == Outcome::Served {
-            self.answer(request, Answer::Served(served));
+            self.answer(request, Answer::Served(answer));
         }
-        let finished = !self.open_requests.is_open(request);
-        let (mut note, mut report) = (told.note, told.report);
+        let finished = !self.requests.is_open(request);
+        let (mut note, mut report) = (self_report.note, self_report.report);
         if let Some(at) = note.position.filter(|_| note.role == Some(Role::Primary)) {
             self.compare_clocks(at);
         }
@@ -354,7 +371,7 @@
             member,
             outcome,
             note,
-            took,
+            took: duration,
             finished,
             report,
         }));
@@ -394,8 +411,8 @@
             Action::Send { request, member, wait } => self.send(now, request, member, wait),
             Action::Refuse { request, retry_after } => self.answer(request, Answer::Refused(retry_after)),
             Action::Fail(request) => self.answer(request, Answer::Failed),
-            Action::CloseIdle(member) => self.send_to_member(member, MemberMail::CloseIdle),
-            Action::Probe(member) => self.send_to_member(member, MemberMail::Probe),
+            Action::CloseIdle(member) => self.send_to_member(member, MemberMessage::CloseIdle),
+            Action::Probe(member) => self.send_to_member(member, MemberMessage::Probe),
             Action::Forget(member) => self.forget(member),
             Action::SendPeerUpdates(updates) => self.send_updates(&updates),
             Action::SpillLoans(loans) => self.send_loans(loans),
@@ -411,40 +428,46 @@
 
     /// Starts an attempt of a request at a member.
     fn send(&mut self, now: Micros, request: RequestId, member: MemberId, wait: Micros) {
-        let Some(sending) = self.open_requests.send(request, member, wait, now) else {
+        let Some(start) = self.requests.start_attempt(request, member, wait, now) else {
             return self.node.stats.check(false, "an attempt is sent only for an open request");
         };
-        self.node.stats.check(sending.alone, "a request has at most one attempt in flight");
-        let Sending { statement, ends, cancel_flag, .. } = sending;
-        let attempt =
-            Attempt { request, statement, ends, sent: now, lists: self.node.lists.get(), cancel_flag };
-        self.send_to_member(member, MemberMail::Attempt(attempt));
+        self.node.stats.check(start.is_only_attempt, "a request has at most one attempt in flight");
+        let AttemptStart { statement, deadline, cancel_flag, .. } = start;
+        let attempt = Attempt {
+            request,
+            statement,
+            deadline,
+            decided_at: now,
+            list_version: self.node.lists.get(),
+            cancel_flag,
+        };
+        self.send_to_member(member, MemberMessage::Attempt(attempt));
     }
 
     /// Sends a request's final answer to its client.
-    fn answer(&mut self, request: RequestId, answer: Answer) {
+    fn answer(&mut self, id: RequestId, answer: Answer) {
         // The request is no longer open if its client left meanwhile.
-        let Some(Open { client, tried, out, .. }) = self.open_requests.answer(request) else { return };
+        let Some(OpenRequest { client, was_tried, in_flight_at, .. }) = self.requests.end(id) else { return };
         let stats = &self.node.stats;
-        if !tried {
+        if !was_tried {
             stats.count(Counter::Untried);
         }
-        stats.check(out.is_none(), "no attempt is in flight when its request is answered");
+        stats.check(in_flight_at.is_none(), "no attempt is in flight when its request is answered");
         stats.count(match answer {
             Answer::Served(_) => Counter::Served,
             Answer::Refused(_) => Counter::Refused,
             Answer::Failed => Counter::Failed,
         });
-        let _ = client.try_send(ClientMail::Answer(request, answer));
+        let _ = client.try_send(ClientMessage::Answer(id, answer));
     }
 
     /// Sends a message to a member's actor, which is started if it does not run yet.
-    fn send_to_member(&mut self, member: MemberId, message: MemberMail) {
+    fn send_to_member(&mut self, member: MemberId, message: MemberMessage) {
         let Some(known) = self.members.get_mut(&member) else {
             return self.node.stats.check(false, "a member that is sent a message is known");
         };
-        let start = || self.transport.start(&self.node, &self.handle, member, known.address);
-        let _ = known.actor.get_or_insert_with(start).try_send(message);
+        let start_actor = || self.transport.start(&self.node, &self.handle, member, known.address);
+        let _ = known.actor.get_or_insert_with(start_actor).try_send(message);
     }
 
     /// Removes all that is kept for a member that has left for good, and stops its actor.
@@ -457,7 +480,7 @@
                 same_tag.remove();
             }
         }
-        known.actor.iter().for_each(|actor| drop(actor.try_send(MemberMail::End)));
+        known.actor.iter().for_each(|actor| drop(actor.try_send(MemberMessage::Stop)));
     }
 
     /// Sends members' states to the other drivers.
@@ -504,7 +527,7 @@
         self.last_sweep = now;
         self.node.stats.note(self.router.sizes());
         self.node.stats.note_zones(self.router.zones(now));
-        for id in self.open_requests.overdue(now) {
+        for id in self.requests.overdue(now) {
             warn!("request {} got no decision before its deadline; answering it as failed", id.0);
             self.node.stats.check(false, "every request is answered before its deadline");
             self.handle_at(now, &Event::ClientDisconnected(id));
--- a/crates/driver/src/module/requests.rs
+++ b/crates/driver/src/decision/open_requests.rs
@@ -17,109 +17,118 @@
 const OVERDUE_AFTER_US: Micros = 20_000;
 
 /// An open request.
-pub struct Open<C> {
+pub struct OpenRequest<C> {
     /// Where the answer is sent.
     pub client: C,
     /// The statement to send to a member.
     pub statement: Rc<Statement>,
     /// The deadline, after which the client no longer waits.
-    pub ends: Micros,
+    pub deadline: Micros,
     /// Tells whether the client still waits.
     pub cancel_flag: CancelFlag,
     /// Whether any attempt was made.
-    pub tried: bool,
+    pub was_tried: bool,
     /// The member at which an attempt is in flight.
-    pub out: Option<MemberId>,
+    pub in_flight_at: Option<MemberId>,
 }
 
 /// The result of adding a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Arrived {
+pub enum AddResult {
     /// The request is open now.
-    Taken,
+    Opened,
     /// The client left while the request waited in a mailbox. The message about that follows and finds no
     /// open request.
-    Left,
+    ClientGone,
     /// The id belongs to another open request, which is a bug in this program.
-    Twice,
+    DuplicateId,
 }
 
 /// An attempt that may be sent.
-pub struct Sending {
+pub struct AttemptStart {
     /// The statement to send.
     pub statement: Rc<Statement>,
     /// The attempt's deadline.
-    pub ends: Micros,
+    pub deadline: Micros,
     /// Tells whether the client still waits.
     pub cancel_flag: CancelFlag,
     /// Whether no other attempt was in flight; if one was, that is a bug in this program.
-    pub alone: bool,
+    pub is_only_attempt: bool,
 }
 
 /// The open requests, each with the way to reach its client.
-pub struct Requests<C> {
-    open: HashMap<RequestId, Open<C>>,
+pub struct OpenRequests<C> {
+    open: HashMap<RequestId, OpenRequest<C>>,
 }
 
-impl<C> Default for Requests<C> {
+impl<C> Default for OpenRequests<C> {
     fn default() -> Self {
-        Requests { open: HashMap::new() }
+        OpenRequests { open: HashMap::new() }
     }
 }
 
-impl<C> Requests<C> {
+impl<C> OpenRequests<C> {
     /// Adds a request.
-    pub fn arrive(
+    pub fn add(
         &mut self,
         id: RequestId,
         client: C,
         statement: Rc<Statement>,
-        ends: Micros,
+        deadline: Micros,
         cancel_flag: CancelFlag,
-    ) -> Arrived {
+    ) -> AddResult {
         if cancel_flag.is_cancelled() {
-            return Arrived::Left;
+            return AddResult::ClientGone;
         }
-        match self.open.insert(id, Open { client, statement, ends, cancel_flag, tried: false, out: None }) {
-            None => Arrived::Taken,
-            Some(_) => Arrived::Twice,
+        match self.open.insert(
+            id,
+            OpenRequest { client, statement, deadline, cancel_flag, was_tried: false, in_flight_at: None },
+        ) {
+            None => AddResult::Opened,
+            Some(_) => AddResult::DuplicateId,
         }
     }
 
     /// Removes a request whose client has left. Returns the member at which its attempt has to be cancelled,
     /// if any; None if the request is not open any more.
-    pub fn leave(&mut self, id: RequestId) -> Option<Option<MemberId>> {
-        self.open.remove(&id).map(|open| open.out)
+    pub fn abandon(&mut self, id: RequestId) -> Option<Option<MemberId>> {
+        self.open.remove(&id).map(|open| open.in_flight_at)
     }
 
     /// Notes that the request is sent to a member, for at most `wait` microseconds (0: until the client's
     /// deadline). None if the request is not open.
-    pub fn send(&mut self, id: RequestId, to: MemberId, wait: Micros, now: Micros) -> Option<Sending> {
+    pub fn start_attempt(
+        &mut self,
+        id: RequestId,
+        to: MemberId,
+        wait: Micros,
+        now: Micros,
+    ) -> Option<AttemptStart> {
         let open = self.open.get_mut(&id)?;
-        let alone = open.out.replace(to).is_none();
-        open.tried = true;
-        let ends = if wait == 0 { open.ends } else { open.ends.min(now + wait) };
-        Some(Sending {
+        let is_only_attempt = open.in_flight_at.replace(to).is_none();
+        open.was_tried = true;
+        let deadline = if wait == 0 { open.deadline } else { open.deadline.min(now + wait) };
+        Some(AttemptStart {
             statement: open.statement.clone(),
-            ends,
+            deadline,
             cancel_flag: open.cancel_flag.clone(),
-            alone,
+            is_only_attempt,
         })
     }
 
     /// Notes that the request's attempt at this member has ended. False if the request is open and had no
     /// attempt in flight there.
-    pub fn ended(&mut self, id: RequestId, at: MemberId) -> bool {
-        self.open.get_mut(&id).is_none_or(|open| open.out.take() == Some(at))
+    pub fn end_attempt(&mut self, id: RequestId, at: MemberId) -> bool {
+        self.open.get_mut(&id).is_none_or(|open| open.in_flight_at.take() == Some(at))
     }
 
     /// Removes a request that has its final answer. None if nobody waits for it any more.
-    pub fn answer(&mut self, id: RequestId) -> Option<Open<C>> {
+    pub fn end(&mut self, id: RequestId) -> Option<OpenRequest<C>> {
         self.open.remove(&id)
     }
 
     /// Whether the request is open and its client still waits, so that an attempt of it may still be written.
-    pub fn is_wanted(&self, id: RequestId) -> bool {
+    pub fn is_awaited(&self, id: RequestId) -> bool {
         self.open.get(&id).is_some_and(|open| !open.cancel_flag.is_cancelled())
     }
 
@@ -129,14 +138,16 @@
     }
 
     /// Removes and returns all open requests.
-    pub fn finish(&mut self) -> Vec<(RequestId, Open<C>)> {
+    pub fn drain(&mut self) -> Vec<(RequestId, OpenRequest<C>)> {
         std::mem::take(&mut self.open).into_iter().collect()
     }
 
     /// Requests without an attempt in flight that should have been answered by now.
     pub fn overdue(&self, now: Micros) -> Vec<RequestId> {
-        let overdue =
-            self.open.iter().filter(|(_, open)| open.out.is_none() && now > open.ends + OVERDUE_AFTER_US);
+        let overdue = self
+            .open
+            .iter()
+            .filter(|(_, open)| open.in_flight_at.is_none() && now > open.deadline + OVERDUE_AFTER_US);
         overdue.map(|(id, _)| *id).collect()
     }
 }
--- a/crates/driver/src/discovery/mod.rs
+++ b/crates/driver/src/discovery/mod.rs
@@ -22,10 +22,10 @@
 use futures_lite::future;
 use log::{info, warn};
 
+use crate::decision::DecisionHandle;
 use crate::http;
 use crate::listing::Listing;
 use crate::meter::Work;
-use crate::module::ModuleHandle;
 use crate::stats::Counter;
 use crate::Node;
 
@@ -40,7 +40,7 @@
     Silent,
     Closed,
     Status(u16),
-    Http(http::Broken),
+    Http(http::ResponseError),
     Json(serde_json::Error),
     TooLong,
 }
@@ -61,7 +61,12 @@
 
 /// Keeps the membership list up to date for as long as the driver runs: first from `address`, later from each address that
 /// arrives on `addresses`. A new address takes over once it has delivered its full list; until then the previous one is used.
-pub async fn run(node: Rc<Node>, address: SocketAddr, addresses: Receiver<SocketAddr>, module: ModuleHandle) {
+pub async fn run(
+    node: Rc<Node>,
+    address: SocketAddr,
+    addresses: Receiver<SocketAddr>,
+    module: DecisionHandle,
+) {
     let (mut address, mut version) = (address, None);
     loop {
         // The first future is polled first: once the new address has delivered its list, no update of the old watch counts.
@@ -69,7 +74,7 @@
         let (next, listing) = future::or(moved, sync_with(&node, address, version, &module)).await;
         info!("discovery address changed: the membership list now comes from {next}");
         (address, version) = (next, Some(listing.generation));
-        module.list(listing).await;
+        module.send_list(listing).await;
     }
 }
 
@@ -113,7 +118,7 @@
     node: &Rc<Node>,
     address: SocketAddr,
     version: Option<u64>,
-    module: &ModuleHandle,
+    module: &DecisionHandle,
 ) -> (SocketAddr, Listing) {
     let mut calls = CallState::new(node, address);
     let mut follower = Follower::new(calls.pace, version, Instant::now());
@@ -148,7 +153,7 @@
                 full_list = None;
                 calls.answered();
                 if follower.whole_came(listing.generation, digest, Instant::now()) == Verdict::Applies {
-                    module.list(listing).await;
+                    module.send_list(listing).await;
                 }
             }
             CallEvent::FullList(Err(error)) => {
@@ -161,7 +166,7 @@
             CallEvent::Update(Some(listing)) => {
                 calls.answered();
                 follower.changed(listing.generation);
-                module.list(listing).await;
+                module.send_list(listing).await;
             }
             CallEvent::Ended(error) => {
                 watch = Watch::Closed;
--- a/crates/driver/src/discovery/response.rs
+++ b/crates/driver/src/discovery/response.rs
@@ -51,12 +51,14 @@
         let body_deadline = Instant::now() + call_timeout;
         let call = async {
             let mut stream = Async::<TcpStream>::connect(address).await.map_err(CallError::Io)?;
-            let request = http::get(target, &address.to_string());
+            let request = http::get_request(target, &address.to_string());
             stream.write_all(request.as_bytes()).await.map_err(CallError::Io)?;
             node.stats.add(Counter::ListBytesSent, request.len());
             let mut buffer = Buffer::default();
             loop {
-                if let Some((response, length)) = http::head(buffer.filled()).map_err(CallError::Http)? {
+                if let Some((response, length)) =
+                    http::parse_head(buffer.filled()).map_err(CallError::Http)?
+                {
                     drop(buffer.consume(length));
                     if response.status != 200 {
                         return Err(CallError::Status(response.status));
@@ -118,12 +120,12 @@
     /// Moves the received part of the body into the decoder. Returns whether the body is complete.
     fn receive(&mut self) -> Result<bool, CallError> {
         let consumed =
-            self.response.body(self.buffer.filled(), self.values.end()).map_err(CallError::Http)?;
+            self.response.read_body(self.buffer.filled(), self.values.end()).map_err(CallError::Http)?;
         drop(self.buffer.consume(consumed));
         if self.values.begun() > MAX_LIST_BYTES {
             return Err(CallError::TooLong);
         }
-        Ok(self.response.is_done())
+        Ok(self.response.is_complete())
     }
 
     /// Reads once. The longer an incomplete list already is, the more is read at a time, because the list is parsed from
--- a/crates/driver/src/http.rs
+++ b/crates/driver/src/http.rs
@@ -10,24 +10,24 @@
 
 /// Why a response can't be parsed any further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Broken {
+pub enum ResponseError {
     /// The head is too long or malformed.
-    Head,
+    MalformedHead,
     /// The framing of a chunk is malformed.
-    Chunk,
+    MalformedChunk,
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for ResponseError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            Broken::Head => "the response's head can't be read",
-            Broken::Chunk => "a chunk can't be read",
+            ResponseError::MalformedHead => "the response's head can't be read",
+            ResponseError::MalformedChunk => "a chunk can't be read",
         })
     }
 }
 
 /// The text of a GET request. The connection carries no further request.
-pub fn get(target: &str, host: &str) -> String {
+pub fn get_request(target: &str, host: &str) -> String {
     format!("GET {target} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\nConnection: close\r\n\r\n")
 }
 
@@ -59,24 +59,27 @@
 
 /// Parses the head of a response. Returns the response and the number of bytes that its head took, or None
 /// while the head is incomplete.
-pub fn head(bytes: &[u8]) -> Result<Option<(Response, usize)>, Broken> {
+pub fn parse_head(bytes: &[u8]) -> Result<Option<(Response, usize)>, ResponseError> {
     let Some(end) = bytes.windows(4).position(|w| w == b"\r\n\r\n") else {
-        return if bytes.len() > MAX_HEAD_BYTES { Err(Broken::Head) } else { Ok(None) };
+        return if bytes.len() > MAX_HEAD_BYTES { Err(ResponseError::MalformedHead) } else { Ok(None) };
     };
-    let text =
-        std::str::from_utf8(&bytes[..end]).ok().filter(|t| t.len() <= MAX_HEAD_BYTES).ok_or(Broken::Head)?;
+    let text = std::str::from_utf8(&bytes[..end])
+        .ok()
+        .filter(|t| t.len() <= MAX_HEAD_BYTES)
+        .ok_or(ResponseError::MalformedHead)?;
     let mut lines = text.split("\r\n");
-    let status = lines.next().and_then(|line| line.strip_prefix("HTTP/1.")).ok_or(Broken::Head)?;
-    let status = status.split(' ').nth(1).and_then(|s| s.parse().ok()).ok_or(Broken::Head)?;
+    let status =
+        lines.next().and_then(|line| line.strip_prefix("HTTP/1.")).ok_or(ResponseError::MalformedHead)?;
+    let status = status.split(' ').nth(1).and_then(|s| s.parse().ok()).ok_or(ResponseError::MalformedHead)?;
     let mut framing = Framing::UntilClose;
     for line in lines {
-        let (name, value) = line.split_once(':').ok_or(Broken::Head)?;
+        let (name, value) = line.split_once(':').ok_or(ResponseError::MalformedHead)?;
         let value = value.trim();
         if name.eq_ignore_ascii_case("transfer-encoding") {
             let chunked = value.eq_ignore_ascii_case("chunked");
-            framing = if chunked { Framing::ChunkSize } else { return Err(Broken::Head) };
+            framing = if chunked { Framing::ChunkSize } else { return Err(ResponseError::MalformedHead) };
         } else if name.eq_ignore_ascii_case("content-length") && framing != Framing::ChunkSize {
-            framing = Framing::Length(value.parse().map_err(|_| Broken::Head)?);
+            framing = Framing::Length(value.parse().map_err(|_| ResponseError::MalformedHead)?);
         }
     }
     Ok(Some((Response { status, framing }, end + 4)))
@@ -85,7 +88,7 @@
 impl Response {
     /// Reads the body as far as these bytes go, and appends its data. Returns the number of bytes that were
     /// read.
-    pub fn body(&mut self, bytes: &[u8], data: &mut Vec<u8>) -> Result<usize, Broken> {
+    pub fn read_body(&mut self, bytes: &[u8], data: &mut Vec<u8>) -> Result<usize, ResponseError> {
         let mut at = 0;
         loop {
             let rest = &bytes[at..];
@@ -125,18 +128,21 @@
     }
 
     /// Whether the body is complete.
-    pub fn is_done(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         matches!(self.framing, Framing::Done | Framing::Length(0))
     }
 
     /// What follows a line of a chunked body.
-    fn framing_after_line(&self, line: &[u8]) -> Result<Framing, Broken> {
+    fn framing_after_line(&self, line: &[u8]) -> Result<Framing, ResponseError> {
         match self.framing {
             Framing::ChunkSize => {
                 let digits = line.split(|&b| b == b';').next().unwrap_or_default().trim_ascii();
                 let size =
                     std::str::from_utf8(digits).ok().filter(|d| d.bytes().all(|b| b.is_ascii_hexdigit()));
-                match size.and_then(|d| u64::from_str_radix(d, 16).ok()).ok_or(Broken::Chunk)? {
+                match size
+                    .and_then(|d| u64::from_str_radix(d, 16).ok())
+                    .ok_or(ResponseError::MalformedChunk)?
+                {
                     0 => Ok(Framing::Trailer),
                     size => Ok(Framing::ChunkData(size)),
                 }
@@ -144,16 +150,16 @@
             Framing::ChunkEnd if line.is_empty() => Ok(Framing::ChunkSize),
             Framing::Trailer if line.is_empty() => Ok(Framing::Done),
             Framing::Trailer => Ok(Framing::Trailer),
-            _ => Err(Broken::Chunk),
+            _ => Err(ResponseError::MalformedChunk),
         }
     }
 }
 
 /// Splits off a line, without its line end. None while the line is incomplete.
-fn split_line(bytes: &[u8]) -> Result<Option<&[u8]>, Broken> {
+fn split_line(bytes: &[u8]) -> Result<Option<&[u8]>, ResponseError> {
     match bytes.windows(2).position(|w| w == b"\r\n") {
         Some(end) if end <= MAX_CHUNK_LINE_BYTES => Ok(Some(&bytes[..end])),
         None if bytes.len() <= MAX_CHUNK_LINE_BYTES + 1 => Ok(None),
-        _ => Err(Broken::Chunk),
+        _ => Err(ResponseError::MalformedChunk),
     }
 }
--- a/crates/driver/src/lib.rs
+++ b/crates/driver/src/lib.rs
@@ -14,6 +14,7 @@
 pub mod clock;
 pub mod config;
 pub mod control;
+pub mod decision;
 pub mod descriptors;
 pub mod discovery;
 pub mod http;
@@ -21,7 +22,6 @@
 pub mod listing;
 pub mod member;
 pub mod meter;
-pub mod module;
 pub mod peers;
 pub mod pg;
 pub mod shutdown;
@@ -50,11 +50,11 @@
 
 use budget::Budget;
 use clock::Clock;
+use decision::{DecisionHandle, DecisionMessage};
 use descriptors::{Descriptors, Permit, Places};
 use ids::Ids;
 use member::SocketTransport;
 use meter::Meter;
-use module::{Mail, ModuleHandle};
 use skew::Skew;
 use stall::StallDetector;
 use stats::{Counter, Stats};
@@ -178,7 +178,7 @@
     mut config: Config,
     reloads: impl Stream<Item = Config>,
     discovery_addresses: Sender<SocketAddr>,
-    module: ModuleHandle,
+    module: DecisionHandle,
 ) {
     let mut reloads = pin!(reloads);
     while let Some(new) = reloads.next().await {
@@ -197,7 +197,7 @@
             let count = new.plans.routes.as_ref().map_or(0, |r| r.routes.len());
             info!("routes read again: {count} of them; requests already accepted keep their routes");
             config.plans = Plans { zones: config.plans.zones, ..new.plans.clone() };
-            module.send(Mail::Routes(new.plans.routes));
+            module.send(DecisionMessage::ReplaceRoutes(new.plans.routes));
         }
     }
 }
--- a/crates/driver/src/member/connection.rs
+++ b/crates/driver/src/member/connection.rs
@@ -1,6 +1,6 @@
 //! Connections to members: opening them, sending one statement at a time, and reading the answer.
 //!
-//! Owns the socket and its file descriptor. `attempt` says what may be written, and `reply` what an answer
+//! Owns the socket and its file descriptor. `send_state` says what may be written, and `reply` what an answer
 //! means.
 
 use std::io::{self, Write};
@@ -11,14 +11,14 @@
 use beaconshore::interface::{MemberId, Outcome, Report};
 use futures_lite::{future, AsyncWriteExt};
 
-use super::attempt::{Departure, Next, Present};
-use super::reply::{End, Reply};
+use super::reply::{Reply, ReplyEnd};
+use super::send_state::{SendConditions, SendState, SendStep};
 use super::Attempt;
 use crate::buffer::Buffer;
 use crate::clock::{until, within};
+use crate::decision::DecisionHandle;
 use crate::descriptors::Permit;
-use crate::module::ModuleHandle;
-use crate::pg::{self, sqlstate, Backend};
+use crate::pg::{self, sqlstate, BackendMessage};
 use crate::stats::Counter;
 use crate::Node;
 
@@ -38,21 +38,21 @@
 /// Runs an attempt from its connection to its outcome. Returns the connection if it can be used again.
 pub async fn run_attempt(
     node: &Node,
-    module: &ModuleHandle,
+    decision: &DecisionHandle,
     id: MemberId,
     address: SocketAddr,
     idle: Option<Connection>,
     attempt: &Attempt,
 ) -> (Reply, Option<Connection>) {
-    let deadline = node.clock.instant(attempt.ends);
-    let mut connection = match send_query(node, module, id, address, idle, attempt).await {
+    let deadline = node.clock.instant(attempt.deadline);
+    let mut connection = match send_query(node, decision, id, address, idle, attempt).await {
         Ok(connection) => connection,
         Err((outcome, unused)) => return (Reply::without_answer(outcome), unused),
     };
     let mut reply = Reply::awaited();
     match until(deadline, connection.read_reply(node, &mut reply)).await {
-        Some(End::Ready) => (reply, Some(connection)),
-        Some(End::Broken | End::Spoilt) => (reply, None),
+        Some(ReplyEnd::Ready) => (reply, Some(connection)),
+        Some(ReplyEnd::Unusable | ReplyEnd::Malformed) => (reply, None),
         None => {
             reply.time_out();
             (reply, None)
@@ -64,44 +64,51 @@
 /// connection if nothing was written on it. A member never runs a query that is cut short.
 async fn send_query(
     node: &Node,
-    module: &ModuleHandle,
+    decision: &DecisionHandle,
     id: MemberId,
     address: SocketAddr,
     idle: Option<Connection>,
     attempt: &Attempt,
 ) -> Result<Connection, (Outcome, Option<Connection>)> {
-    let deadline = node.clock.instant(attempt.ends);
-    let mut departure = Departure::new(attempt.sent, attempt.lists, attempt.ends, idle.is_some());
+    let deadline = node.clock.instant(attempt.deadline);
+    let mut send_state =
+        SendState::new(attempt.decided_at, attempt.list_version, attempt.deadline, idle.is_some());
     let (mut connection, mut query, mut written) = (idle, Vec::new(), 0);
     loop {
-        let (lists, withdrawn) = (node.lists.get(), attempt.cancel_flag.is_cancelled());
-        let present = Present { now: node.clock.now(), lists, withdrawn };
-        let step = departure.next(present);
+        let (list_version, is_cancelled) = (node.lists.get(), attempt.cancel_flag.is_cancelled());
+        let conditions = SendConditions { now: node.clock.now(), list_version, is_cancelled };
+        let step = send_state.next_step(conditions);
         match (step, &mut connection) {
-            (Next::GiveUp, _) => return Err((Outcome::NeverSent, connection.filter(|_| written == 0))),
-            (Next::Connect, _) | (Next::Write, None) => match until(deadline, connect(node, address)).await {
-                Some(Ok(connected)) => {
-                    connection = Some(connected);
-                    departure.connected();
+            (SendStep::GiveUp, _) => return Err((Outcome::NeverSent, connection.filter(|_| written == 0))),
+            (SendStep::Connect, _) | (SendStep::Write, None) => {
+                match until(deadline, connect(node, address)).await {
+                    Some(Ok(connected)) => {
+                        connection = Some(connected);
+                        send_state.on_connected();
+                    }
+                    Some(Err(outcome)) => return Err((outcome, None)),
+                    // The attempt's own time ran out, which says nothing about the member.
+                    None => return Err((Outcome::NeverSent, None)),
                 }
-                Some(Err(outcome)) => return Err((outcome, None)),
-                // The attempt's own time ran out, which says nothing about the member.
-                None => return Err((Outcome::NeverSent, None)),
-            },
-            (Next::Ask, _) => {
-                let confirmation = module.confirm(attempt.request, id).await;
-                departure.answered(confirmation.allowed, confirmation.at, confirmation.lists);
             }
-            (Next::Write, Some(connected)) => {
+            (SendStep::Confirm, _) => {
+                let confirmation = decision.confirm(attempt.request, id).await;
+                send_state.on_confirmation(
+                    confirmation.is_allowed,
+                    confirmation.decided_at,
+                    confirmation.list_version,
+                );
+            }
+            (SendStep::Write, Some(connected)) => {
                 if query.is_empty() {
                     // The time left is rounded up to whole milliseconds, the unit that members read.
-                    query = attempt.statement.query((attempt.ends - present.now).div_ceil(1000));
+                    query = attempt.statement.to_query((attempt.deadline - conditions.now).div_ceil(1000));
                 }
                 let mut socket = connected.stream.get_ref();
                 match socket.write(&query[written..]) {
                     Ok(count) => written += count,
                     Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
-                        departure.blocked();
+                        send_state.on_blocked();
                         match until(deadline, connected.stream.writable()).await {
                             Some(Ok(())) => {}
                             Some(Err(_)) => return Err((Outcome::Unreachable, None)),
@@ -138,13 +145,13 @@
         connection.stream.write_all(&query).await.map_err(|_| Outcome::Unreachable)?;
         let mut reply = Reply::awaited();
         let end = connection.read_reply(node, &mut reply).await;
-        let mut told = reply.told;
-        if let Some(value) = pg::single_value(&reply.served.messages).filter(|_| has_report) {
-            told.take(b"server_load", value);
+        let mut self_report = reply.self_report;
+        if let Some(value) = pg::find_single_value(&reply.answer.messages).filter(|_| has_report) {
+            self_report.record_value(b"server_load", value);
         }
         // A malformed answer shows that the member is up, and nothing else.
-        let outcome = if end == End::Spoilt { Outcome::Served } else { reply.outcome };
-        Ok((outcome, told.as_report(), (end == End::Ready).then_some(connection)))
+        let outcome = if end == ReplyEnd::Malformed { Outcome::Served } else { reply.outcome };
+        Ok((outcome, self_report.to_report(), (end == ReplyEnd::Ready).then_some(connection)))
     };
     match within(limit, probe).await {
         Some(Ok(end)) => end,
@@ -193,15 +200,15 @@
     async fn read_startup_response(&mut self) -> Result<(), Outcome> {
         loop {
             while let Some((message, length)) =
-                pg::backend(self.buffer.filled()).map_err(|_| Outcome::Unreachable)?
+                pg::parse_backend(self.buffer.filled()).map_err(|_| Outcome::Unreachable)?
             {
                 let is_ready = match message {
-                    Backend::Error(code, _) => {
+                    BackendMessage::Error(code, _) => {
                         let is_full = code == sqlstate::TOO_MANY_CONNECTIONS.as_bytes();
                         return Err(if is_full { Outcome::Rejected } else { Outcome::Unreachable });
                     }
-                    Backend::Authentication(1..) => return Err(Outcome::Unreachable),
-                    message => message == Backend::Ready,
+                    BackendMessage::Authentication(1..) => return Err(Outcome::Unreachable),
+                    message => message == BackendMessage::Ready,
                 };
                 self.buffer.consume(length);
                 if is_ready {
@@ -209,7 +216,7 @@
                 }
             }
             future::yield_now().await;
-            let length = pg::length(self.buffer.filled());
+            let length = pg::message_length(self.buffer.filled());
             if self.read_some(length).await.map_or(true, |count| count == 0) {
                 return Err(Outcome::Unreachable);
             }
@@ -217,29 +224,29 @@
     }
 
     /// Reads the answer to a statement that was written whole, and returns how the reading ended.
-    async fn read_reply(&mut self, node: &Node, reply: &mut Reply) -> End {
+    async fn read_reply(&mut self, node: &Node, reply: &mut Reply) -> ReplyEnd {
         loop {
-            if let Some(end) = reply.take(&mut self.buffer) {
+            if let Some(end) = reply.read_messages(&mut self.buffer) {
                 return end;
             }
             // Yields, so that a member that sends without pause does not hold up the other actors.
             future::yield_now().await;
-            let length = pg::length(self.buffer.filled());
+            let length = pg::message_length(self.buffer.filled());
             if self.buffer.lacks_room(length) {
                 self.buffer.grant(node.budget.answers.acquire_arc().await);
             }
-            let time_limit = reply.patience(!self.buffer.filled().is_empty());
+            let read_timeout = reply.read_timeout(!self.buffer.filled().is_empty());
             let read = self.read_some(length);
-            let count = match time_limit {
-                Some(time_limit) => match within(time_limit, read).await {
+            let count = match read_timeout {
+                Some(read_timeout) => match within(read_timeout, read).await {
                     Some(count) => count,
-                    None => return reply.spoil(),
+                    None => return reply.abort(),
                 },
                 None => read.await,
             };
             // If only the last message is missing, the outcome is known and stays.
             if count.map_or(true, |count| count == 0) {
-                return End::Broken;
+                return ReplyEnd::Unusable;
             }
         }
     }
--- a/crates/driver/src/member/mod.rs
+++ b/crates/driver/src/member/mod.rs
@@ -3,10 +3,10 @@
 //! An attempt ends with the outcome that the wire protocol gives for what was received, and its end is
 //! reported only when nothing more of it can be sent or received. Retries are not made here.
 
-pub mod attempt;
 pub mod connection;
 pub mod reply;
-pub mod told;
+pub mod self_report;
+pub mod send_state;
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -17,20 +17,20 @@
 use async_executor::Task;
 use beaconshore::interface::{MemberId, Micros, Outcome, Report, RequestId};
 
-use crate::client::{CancelFlag, Served};
+use crate::client::{CancelFlag, MemberAnswer};
 use crate::clock::until;
 use crate::control::MemberTransport;
+use crate::decision::{DecisionHandle, DecisionMessage, Statement};
 use crate::descriptors::{Rank, Rest};
-use crate::module::{Mail, ModuleHandle, Statement};
 use crate::stats::Counter;
 use crate::Node;
 
 use connection::{probe, run_attempt, Connection};
 use reply::Reply;
-pub use told::{report, Told};
+pub use self_report::{parse_load_report, SelfReport};
 
 /// A message to a member's actor.
-pub enum MemberMail {
+pub enum MemberMessage {
     /// Send a request to the member.
     Attempt(Attempt),
     /// Cancel an attempt, since its client has left.
@@ -38,17 +38,17 @@
     /// Probe the member.
     Probe,
     /// The member listens at this address now.
-    Address(SocketAddr),
+    AddressChanged(SocketAddr),
     /// The member has left for good: close all connections and stop.
-    End,
+    Stop,
     /// Close the idle connections.
     CloseIdle,
     /// Close the connection that has been idle for the longest time.
-    CloseOldest,
+    CloseLongestIdle,
     /// An attempt has ended. Its connection is returned if it can be used again.
-    Ended(AttemptEnd, Option<Connection>),
+    AttemptEnded(AttemptEnd, Option<Connection>),
     /// A probe has ended, with the same return of its connection.
-    Probed(Outcome, Report, Option<Connection>),
+    ProbeEnded(Outcome, Report, Option<Connection>),
 }
 
 /// A request to be sent to a member.
@@ -58,11 +58,11 @@
     /// The statement to send.
     pub statement: Rc<Statement>,
     /// The attempt's deadline.
-    pub ends: Micros,
+    pub deadline: Micros,
     /// When the attempt was decided on.
-    pub sent: Micros,
+    pub decided_at: Micros,
     /// The version of the membership list that it was decided on.
-    pub lists: u64,
+    pub list_version: u64,
     /// Tells whether the client still waits.
     pub cancel_flag: CancelFlag,
 }
@@ -76,11 +76,11 @@
     /// Its outcome.
     pub outcome: Outcome,
     /// The answer for the client, if the member served the request.
-    pub served: Served,
+    pub answer: MemberAnswer,
     /// What the member reported of itself.
-    pub told: Told,
+    pub self_report: SelfReport,
     /// The time since the attempt was decided on, in microseconds.
-    pub took: Micros,
+    pub duration: Micros,
 }
 
 /// A connection that carries nothing.
@@ -97,23 +97,23 @@
     fn start(
         &self,
         node: &Rc<Node>,
-        module: &ModuleHandle,
+        decision: &DecisionHandle,
         id: MemberId,
         address: SocketAddr,
-    ) -> Sender<MemberMail> {
-        MemberActor::start(node, module, id, address)
+    ) -> Sender<MemberMessage> {
+        MemberActor::start(node, decision, id, address)
     }
 }
 
 /// The actor of one member.
 pub struct MemberActor {
     node: Rc<Node>,
-    module: ModuleHandle,
+    decision: DecisionHandle,
     id: MemberId,
     address: SocketAddr,
-    mailbox: Receiver<MemberMail>,
+    mailbox: Receiver<MemberMessage>,
     /// For tasks that report back to this actor.
-    sender: Sender<MemberMail>,
+    sender: Sender<MemberMessage>,
     /// Ordered by the time since when they are idle, the oldest first.
     idle_connections: VecDeque<IdleConnection>,
     running_attempts: HashMap<RequestId, Task<()>>,
@@ -123,18 +123,18 @@
     /// Starts the actor of a member and returns the sender of its mailbox.
     pub fn start(
         node: &Rc<Node>,
-        module: &ModuleHandle,
+        decision: &DecisionHandle,
         id: MemberId,
         address: SocketAddr,
-    ) -> Sender<MemberMail> {
+    ) -> Sender<MemberMessage> {
         // The mailbox has no capacity of its own. Its messages belong to open requests, a probe, and
         // connections, and the descriptors for connections bound the number of these.
         let (sender, mailbox) = async_channel::unbounded();
         let (idle_connections, running_attempts) = Default::default();
-        let (node, module) = (node.clone(), module.clone());
+        let (node, decision) = (node.clone(), decision.clone());
         let member = MemberActor {
             node,
-            module,
+            decision,
             id,
             address,
             mailbox,
@@ -159,27 +159,27 @@
             };
             match message {
                 None => {}
-                Some(Err(_) | Ok(MemberMail::End)) => return,
-                Some(Ok(MemberMail::Attempt(attempt))) => self.start_attempt(attempt),
-                Some(Ok(MemberMail::Cancel(request))) => self.cancel_attempt(request).await,
-                Some(Ok(MemberMail::Probe)) => self.start_probe(),
-                Some(Ok(MemberMail::Address(address))) => {
+                Some(Err(_) | Ok(MemberMessage::Stop)) => return,
+                Some(Ok(MemberMessage::Attempt(attempt))) => self.start_attempt(attempt),
+                Some(Ok(MemberMessage::Cancel(request))) => self.cancel_attempt(request).await,
+                Some(Ok(MemberMessage::Probe)) => self.start_probe(),
+                Some(Ok(MemberMessage::AddressChanged(address))) => {
                     self.address = address;
                     self.idle_connections.clear();
                 }
-                Some(Ok(MemberMail::CloseIdle)) => self.idle_connections.clear(),
-                Some(Ok(MemberMail::CloseOldest)) => match self.idle_connections.pop_front() {
+                Some(Ok(MemberMessage::CloseIdle)) => self.idle_connections.clear(),
+                Some(Ok(MemberMessage::CloseLongestIdle)) => match self.idle_connections.pop_front() {
                     Some(oldest) => drop(oldest),
                     None => self.node.descriptors.members.asked_in_vain(),
                 },
-                Some(Ok(MemberMail::Ended(end, connection))) => {
+                Some(Ok(MemberMessage::AttemptEnded(end, connection))) => {
                     self.running_attempts.remove(&end.request);
                     self.return_connection(connection);
-                    self.module.send(Mail::AttemptEnded(Box::new(end)));
+                    self.decision.send(DecisionMessage::AttemptEnded(Box::new(end)));
                 }
-                Some(Ok(MemberMail::Probed(outcome, report, connection))) => {
+                Some(Ok(MemberMessage::ProbeEnded(outcome, report, connection))) => {
                     self.return_connection(connection);
-                    self.module.send(Mail::ProbeEnded(self.id, outcome, report));
+                    self.decision.send(DecisionMessage::ProbeEnded(self.id, outcome, report));
                 }
             }
         }
@@ -189,13 +189,13 @@
     fn start_attempt(&mut self, attempt: Attempt) {
         self.node.stats.count(Counter::Attempts);
         let (node, id, address, sender) = (self.node.clone(), self.id, self.address, self.sender.clone());
-        let (module, idle, request) = (self.module.clone(), self.take_idle(), attempt.request);
+        let (decision, idle, request) = (self.decision.clone(), self.take_idle(), attempt.request);
         let task = self.node.start(async move {
-            let (reply, connection) = run_attempt(&node, &module, id, address, idle, &attempt).await;
-            let took = node.clock.now().saturating_sub(attempt.sent);
-            let Reply { outcome, served, told, .. } = reply;
-            let end = AttemptEnd { request, member: id, outcome, served, told, took };
-            let _ = sender.try_send(MemberMail::Ended(end, connection));
+            let (reply, connection) = run_attempt(&node, &decision, id, address, idle, &attempt).await;
+            let duration = node.clock.now().saturating_sub(attempt.decided_at);
+            let Reply { outcome, answer, self_report, .. } = reply;
+            let end = AttemptEnd { request, member: id, outcome, answer, self_report, duration };
+            let _ = sender.try_send(MemberMessage::AttemptEnded(end, connection));
         });
         let Some(task) = task else { return };
         let earlier = self.running_attempts.insert(request, task);
@@ -206,10 +206,16 @@
     async fn cancel_attempt(&mut self, request: RequestId) {
         let Some(task) = self.running_attempts.remove(&request) else { return };
         if task.cancel().await.is_none() {
-            let (served, told) = Default::default();
-            let end =
-                AttemptEnd { request, member: self.id, outcome: Outcome::Cancelled, served, told, took: 0 };
-            self.module.send(Mail::AttemptEnded(Box::new(end)));
+            let (answer, self_report) = Default::default();
+            let end = AttemptEnd {
+                request,
+                member: self.id,
+                outcome: Outcome::Cancelled,
+                answer,
+                self_report,
+                duration: 0,
+            };
+            self.decision.send(DecisionMessage::AttemptEnded(Box::new(end)));
         }
     }
 
@@ -220,7 +226,7 @@
         let idle = self.take_idle();
         self.node.spawn(async move {
             let (outcome, report, connection) = probe(&node, address, idle).await;
-            let _ = sender.try_send(MemberMail::Probed(outcome, report, connection));
+            let _ = sender.try_send(MemberMessage::ProbeEnded(outcome, report, connection));
         });
     }
 
@@ -242,7 +248,7 @@
         let is_reusable = |c: &Connection| c.has_empty_buffer() && c.address() == self.address;
         let Some(connection) = connection.filter(is_reusable) else { return };
         let sender = self.sender.clone();
-        let close = move || drop(sender.try_send(MemberMail::CloseOldest));
+        let close = move || drop(sender.try_send(MemberMessage::CloseLongestIdle));
         let registration = self.node.descriptors.members.rest(Rank::Used, close);
         self.idle_connections.push_back(IdleConnection {
             connection,
--- a/crates/driver/src/member/reply.rs
+++ b/crates/driver/src/member/reply.rs
@@ -8,10 +8,10 @@
 
 use beaconshore::interface::Outcome;
 
-use super::told::Told;
+use super::self_report::SelfReport;
 use crate::buffer::Buffer;
-use crate::client::Served;
-use crate::pg::{self, sqlstate, Backend, Severity};
+use crate::client::MemberAnswer;
+use crate::pg::{self, sqlstate, BackendMessage, Severity};
 
 /// Time for the rest of an answer once its value is complete.
 const READY_TIMEOUT: Duration = Duration::from_millis(100);
@@ -24,22 +24,22 @@
     /// The outcome so far.
     pub outcome: Outcome,
     /// The answer for the client, if the member served the request.
-    pub served: Served,
+    pub answer: MemberAnswer,
     /// What the member reported of itself.
-    pub told: Told,
+    pub self_report: SelfReport,
     /// How much of the single row has been received.
     row_progress: RowProgress,
 }
 
 /// How the reading of an answer ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum ReplyEnd {
     /// The member is ready for the next statement.
     Ready,
     /// The connection broke or can't be used again.
-    Broken,
+    Unusable,
     /// The answer is malformed, so that its connection can't be used again.
-    Spoilt,
+    Malformed,
 }
 
 impl Reply {
@@ -47,8 +47,8 @@
     pub fn without_answer(outcome: Outcome) -> Self {
         Reply {
             outcome,
-            served: Served::default(),
-            told: Told::default(),
+            answer: MemberAnswer::default(),
+            self_report: SelfReport::default(),
             row_progress: RowProgress::NotStarted,
         }
     }
@@ -59,55 +59,59 @@
     }
 
     /// Reads all complete messages in the buffer. Returns how the answer ended, once it has.
-    pub fn take(&mut self, buffer: &mut Buffer) -> Option<End> {
+    pub fn read_messages(&mut self, buffer: &mut Buffer) -> Option<ReplyEnd> {
         loop {
             let bytes = buffer.filled();
-            let (message, length) = match pg::backend(bytes) {
+            let (message, length) = match pg::parse_backend(bytes) {
                 Ok(Some(parsed)) => parsed,
                 Ok(None) => return None,
-                Err(_) => return Some(self.spoil()),
+                Err(_) => return Some(self.abort()),
             };
             match message {
-                Backend::ParameterStatus(name, value) => self.told.take(name, value),
+                BackendMessage::ParameterStatus(name, value) => self.self_report.record_value(name, value),
                 // Whatever follows a complete row does not belong to this answer.
-                Backend::Error(..) | Backend::RowDescription(_) | Backend::DataRow(_)
+                BackendMessage::Error(..)
+                | BackendMessage::RowDescription(_)
+                | BackendMessage::DataRow(_)
                     if self.row_progress == RowProgress::Complete =>
                 {
-                    return Some(End::Broken);
+                    return Some(ReplyEnd::Unusable);
                 }
-                Backend::Error(code, severity) => {
+                BackendMessage::Error(code, severity) => {
                     self.outcome = outcome_for_sqlstate(code);
                     if severity == Severity::Fatal {
-                        return Some(End::Broken);
+                        return Some(ReplyEnd::Unusable);
                     }
                 }
-                Backend::RowDescription(_) | Backend::DataRow(_) | Backend::CommandComplete => {
+                BackendMessage::RowDescription(_)
+                | BackendMessage::DataRow(_)
+                | BackendMessage::CommandComplete => {
                     self.row_progress = self.row_progress.after(message);
                     if self.row_progress == RowProgress::Unexpected {
-                        return Some(self.spoil());
+                        return Some(self.abort());
                     }
                     // At most one message of each kind is kept, so that the limit on a message bounds the
                     // answer.
-                    self.served.messages.extend_from_slice(&bytes[..length]);
+                    self.answer.messages.extend_from_slice(&bytes[..length]);
                     if self.row_progress == RowProgress::Complete {
                         self.outcome = Outcome::Served;
                     }
                 }
-                Backend::Ready if self.outcome == Outcome::Reset => return Some(self.spoil()),
-                Backend::Ready | Backend::Authentication(_) | Backend::Other => {}
+                BackendMessage::Ready if self.outcome == Outcome::Reset => return Some(self.abort()),
+                BackendMessage::Ready | BackendMessage::Authentication(_) | BackendMessage::Other => {}
             }
-            let is_ready = message == Backend::Ready;
-            let large = buffer.consume(length);
-            self.served.large = self.served.large.take().or(large);
+            let is_ready = message == BackendMessage::Ready;
+            let large_permit = buffer.consume(length);
+            self.answer.large_permit = self.answer.large_permit.take().or(large_permit);
             if is_ready {
-                return Some(End::Ready);
+                return Some(ReplyEnd::Ready);
             }
         }
     }
 
     /// How long the wait for the next bytes may take; None: until the attempt's deadline. `begun`: the buffer
     /// holds part of a message.
-    pub fn patience(&self, begun: bool) -> Option<Duration> {
+    pub fn read_timeout(&self, begun: bool) -> Option<Duration> {
         match self.row_progress {
             RowProgress::Complete => Some(READY_TIMEOUT),
             _ if begun => Some(MESSAGE_GAP_TIMEOUT),
@@ -118,12 +122,12 @@
     /// Ends an answer that is malformed or whose next bytes did not arrive in time. A row that was complete
     /// stays valid, and so does an error. Otherwise the member did answer and may have run the statement,
     /// which is what an error of its own would mean.
-    pub fn spoil(&mut self) -> End {
+    pub fn abort(&mut self) -> ReplyEnd {
         if self.row_progress == RowProgress::Complete || self.outcome != Outcome::Reset {
-            return End::Broken;
+            return ReplyEnd::Unusable;
         }
         *self = Reply::without_answer(Outcome::Error);
-        End::Spoilt
+        ReplyEnd::Malformed
     }
 
     /// Notes that the attempt's deadline has passed. If only the last message is missing, the outcome is
@@ -147,11 +151,11 @@
 }
 
 impl RowProgress {
-    fn after(self, message: Backend) -> RowProgress {
+    fn after(self, message: BackendMessage) -> RowProgress {
         match (self, message) {
-            (RowProgress::NotStarted, Backend::RowDescription(1)) => RowProgress::Described,
-            (RowProgress::Described, Backend::DataRow(Some(_))) => RowProgress::Received,
-            (RowProgress::Received, Backend::CommandComplete) => RowProgress::Complete,
+            (RowProgress::NotStarted, BackendMessage::RowDescription(1)) => RowProgress::Described,
+            (RowProgress::Described, BackendMessage::DataRow(Some(_))) => RowProgress::Received,
+            (RowProgress::Received, BackendMessage::CommandComplete) => RowProgress::Complete,
             _ => RowProgress::Unexpected,
         }
     }
--- a/crates/driver/src/member/told.rs
+++ b/crates/driver/src/member/self_report.rs
@@ -10,16 +10,16 @@
 
 /// What a member reported of itself.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Told {
+pub struct SelfReport {
     /// What came with an answer.
     pub note: ReplyStatus,
     /// What came in a load report.
     pub report: Report,
 }
 
-impl Told {
+impl SelfReport {
     /// Takes a value that the member sent. Malformed values and unknown names are skipped.
-    pub fn take(&mut self, name: &[u8], value: &[u8]) {
+    pub fn record_value(&mut self, name: &[u8], value: &[u8]) {
         let Ok(value) = std::str::from_utf8(value) else { return };
         match name {
             b"replay_position" => {
@@ -27,21 +27,21 @@
             }
             b"node_role" if value == LEADER => self.note.role = Some(Role::Primary),
             b"node_role" if value == FOLLOWER => self.note.role = Some(Role::Replica),
-            b"server_load" => self.report = report(value).unwrap_or_default(),
+            b"server_load" => self.report = parse_load_report(value).unwrap_or_default(),
             _ => {}
         }
     }
 
-    /// What a probe found out, as a report. A note that came with the answer counts as a report of the time of
-    /// its position.
-    pub fn as_report(&self) -> Report {
+    /// What a probe found out, as a report. A note that came with the answer counts as a report of the time
+    /// of its position.
+    pub fn to_report(&self) -> Report {
         let position = self.report.position.max(self.note.position);
         Report { position, role: self.note.role.or(self.report.role), ..self.report }
     }
 }
 
 /// Parses a load report of the form `name=value,...`. None if any part of it is malformed.
-pub fn report(text: &str) -> Option<Report> {
+pub fn parse_load_report(text: &str) -> Option<Report> {
     let mut report = Report::default();
     for pair in text.split(',') {
         let (name, value) =
@@ -50,7 +50,7 @@
         if field == ReportField::Other {
             continue;
         }
-        let millionths = pg::micro_units(value.trim())?;
+        let millionths = pg::parse_millionths(value.trim())?;
         match field {
             // The position is given in seconds of Unix time.
             ReportField::Position => report.position = Some(millionths).filter(|&p| p > 0),
--- a/crates/driver/src/peers/mod.rs
+++ b/crates/driver/src/peers/mod.rs
@@ -17,8 +17,8 @@
 use futures_lite::future;
 
 use crate::config::Config;
+use crate::decision::DecisionHandle;
 use crate::meter::Work;
-use crate::module::ModuleHandle;
 use crate::stats::Counter;
 use crate::Node;
 
@@ -87,7 +87,7 @@
     }
 
     /// Sends and receives messages until the driver ends.
-    pub async fn run(self, module: ModuleHandle) {
+    pub async fn run(self, module: DecisionHandle) {
         future::or(self.send(), future::or(self.receive(module), self.run_gossip())).await;
     }
 
@@ -151,7 +151,7 @@
     }
 
     /// Reads all received datagrams, then pauses for [`READ_PAUSE`], over and over.
-    async fn receive(&self, module: ModuleHandle) {
+    async fn receive(&self, module: DecisionHandle) {
         let mut bytes = [0; MAX_DATAGRAM + 1];
         loop {
             // An error here concerns an earlier datagram that could not be delivered.
@@ -176,7 +176,7 @@
     }
 
     /// Handles one received datagram, and counts it as received or dropped.
-    fn handle_datagram(&self, bytes: &[u8], from: SocketAddr, module: &ModuleHandle) {
+    fn handle_datagram(&self, bytes: &[u8], from: SocketAddr, module: &DecisionHandle) {
         if Some(from) == self.own_address {
             return;
         }
@@ -189,7 +189,7 @@
     }
 
     /// Passes a message to the gossip or to the module's actor; `None` if it is dropped.
-    fn accept(&self, from: u32, message: PeerMessage, module: &ModuleHandle) -> Option<()> {
+    fn accept(&self, from: u32, message: PeerMessage, module: &DecisionHandle) -> Option<()> {
         let message = match (message, &self.gossip) {
             (PeerMessage::Digest(digest), Some(gossip)) => {
                 gossip.borrow_mut().on_digest(PeerNumber(from), &digest);
@@ -203,6 +203,6 @@
             }
             (message, _) => message,
         };
-        module.tell(from, message).then_some(())
+        module.send_peer_message(from, message).then_some(())
     }
 }
--- a/crates/driver/src/pg.rs
+++ b/crates/driver/src/pg.rs
@@ -12,9 +12,9 @@
 const MAX_VALUE_BYTES: usize = 64 * 1024;
 /// Longest message of a client in bytes: a value that is written as a literal with two digits for each byte,
 /// and room for the rest of the statement.
-pub const MAX_QUERY: usize = 2 * MAX_VALUE_BYTES + 8 * 1024;
+pub const MAX_QUERY_BYTES: usize = 2 * MAX_VALUE_BYTES + 8 * 1024;
 /// Longest message of a member in bytes: a value with its framing.
-pub const MAX_ANSWER: usize = MAX_VALUE_BYTES + 4 * 1024;
+pub const MAX_ANSWER_BYTES: usize = MAX_VALUE_BYTES + 4 * 1024;
 /// Longest startup message in bytes, a common limit of servers.
 const MAX_STARTUP_BYTES: usize = 10_000;
 /// Longest message in bytes of a kind that carries no value.
@@ -57,72 +57,72 @@
 
 /// Why a byte stream can't be parsed any further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Broken {
+pub enum ProtocolError {
     /// The length of a message is too large or too small.
-    Length,
+    InvalidLength,
     /// A message of an unknown type.
-    Kind(u8),
+    UnknownType(u8),
     /// A message with malformed content.
-    Content,
+    MalformedContent,
     /// A protocol version other than 3.
-    Version,
+    UnsupportedVersion,
 }
 
-impl Broken {
+impl ProtocolError {
     /// The SQLSTATE that reports this error.
     pub fn sqlstate(self) -> &'static str {
         match self {
-            Broken::Length => sqlstate::PROGRAM_LIMIT_EXCEEDED,
-            Broken::Version => sqlstate::FEATURE_NOT_SUPPORTED,
-            Broken::Kind(_) | Broken::Content => sqlstate::PROTOCOL_VIOLATION,
+            ProtocolError::InvalidLength => sqlstate::PROGRAM_LIMIT_EXCEEDED,
+            ProtocolError::UnsupportedVersion => sqlstate::FEATURE_NOT_SUPPORTED,
+            ProtocolError::UnknownType(_) | ProtocolError::MalformedContent => sqlstate::PROTOCOL_VIOLATION,
         }
     }
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for ProtocolError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Broken::Length => write!(f, "a message's length is out of bounds"),
-            Broken::Kind(kind) => write!(f, "message kind {kind:#04x} is not known"),
-            Broken::Content => write!(f, "a message's content can't be read"),
-            Broken::Version => write!(f, "only version 3 of the protocol is spoken"),
+            ProtocolError::InvalidLength => write!(f, "a message's length is out of bounds"),
+            ProtocolError::UnknownType(kind) => write!(f, "message kind {kind:#04x} is not known"),
+            ProtocolError::MalformedContent => write!(f, "a message's content can't be read"),
+            ProtocolError::UnsupportedVersion => write!(f, "only version 3 of the protocol is spoken"),
         }
     }
 }
 
 /// A message with the number of bytes that it took; None while it is incomplete.
-pub type Parsed<T> = Result<Option<(T, usize)>, Broken>;
+pub type Parsed<T> = Result<Option<(T, usize)>, ProtocolError>;
 
 /// What a client may open a connection with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Opening {
+pub enum FirstMessage {
     /// A request for encryption, which is declined with a single byte.
-    Encryption,
+    EncryptionRequest,
     /// A cancel request with the key of the connection that it is about. It is the only message of its own
     /// connection.
-    Cancel(u64),
+    CancelRequest(u64),
     /// The startup message.
     Startup,
 }
 
 /// Parses the first message of a connection, which has no type byte.
-pub fn opening(bytes: &[u8]) -> Parsed<Opening> {
+pub fn parse_first_message(bytes: &[u8]) -> Parsed<FirstMessage> {
     let Some(length) = read_be_u32(bytes, 0) else { return Ok(None) };
     let length = length as usize;
     if !(8..=MAX_STARTUP_BYTES).contains(&length) {
-        return Err(Broken::Length);
+        return Err(ProtocolError::InvalidLength);
     }
     let Some(message) = bytes.get(..length) else { return Ok(None) };
-    let opening = match read_be_u32(message, 4) {
-        Some(SSL_REQUEST | GSS_REQUEST) => Opening::Encryption,
+    let first_message = match read_be_u32(message, 4) {
+        Some(SSL_REQUEST | GSS_REQUEST) => FirstMessage::EncryptionRequest,
         Some(CANCEL_REQUEST) => {
             let key = message.get(8..).and_then(|key| Some(u64::from_be_bytes(key.try_into().ok()?)));
-            Opening::Cancel(key.ok_or(Broken::Content)?)
+            FirstMessage::CancelRequest(key.ok_or(ProtocolError::MalformedContent)?)
         }
-        Some(version) if version & 0xffff_0000 == PROTOCOL_3 => Opening::Startup,
-        _ => return Err(Broken::Version),
+        Some(version) if version & 0xffff_0000 == PROTOCOL_3 => FirstMessage::Startup,
+        _ => return Err(ProtocolError::UnsupportedVersion),
     };
-    Ok(Some((opening, length)))
+    Ok(Some((first_message, length)))
 }
 
 /// Longest name in bytes that is taken from a startup message; a longer one counts as missing. Servers
@@ -131,7 +131,7 @@
 
 /// The user and the database that a startup message names. Empty where it names none, or none that is valid
 /// text.
-pub fn login(startup: &[u8]) -> (&str, &str) {
+pub fn startup_parameters(startup: &[u8]) -> (&str, &str) {
     let (mut user, mut database) = ("", "");
     let mut parts = startup.get(8..).unwrap_or_default().split(|b| *b == 0);
     while let (Some(name), Some(value)) = (parts.next(), parts.next()) {
@@ -147,24 +147,24 @@
 }
 
 /// A client's statement without the request comment before it. Empty if it is not valid text.
-pub fn statement(query: &[u8]) -> &str {
+pub fn strip_request_comment(query: &[u8]) -> &str {
     let end = query.windows(2).position(|w| w == b"*/").map_or(0, |at| at + 2);
     std::str::from_utf8(&query[end..]).unwrap_or("").trim_start()
 }
 
 /// The whole length of the first message of a connection; 0 while it is not known.
-pub fn opening_length(bytes: &[u8]) -> usize {
+pub fn first_message_length(bytes: &[u8]) -> usize {
     read_be_u32(bytes, 0).map_or(0, |length| length as usize)
 }
 
 /// The whole length of any later message; 0 while it is not known.
-pub fn length(bytes: &[u8]) -> usize {
+pub fn message_length(bytes: &[u8]) -> usize {
     read_be_u32(bytes, 1).map_or(0, |length| 1 + length as usize)
 }
 
 /// A message of a client after its startup message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Frontend<'a> {
+pub enum FrontendMessage<'a> {
     /// The text of a simple query.
     Query(&'a [u8]),
     /// A message of the extended protocol, which is not supported.
@@ -178,26 +178,28 @@
 }
 
 /// Parses the next message of a client.
-pub fn frontend(bytes: &[u8]) -> Parsed<Frontend<'_>> {
+pub fn parse_frontend(bytes: &[u8]) -> Parsed<FrontendMessage<'_>> {
     let bound = |kind| match kind {
-        b'Q' | b'P' | b'B' | b'F' | b'd' => Ok(MAX_QUERY),
+        b'Q' | b'P' | b'B' | b'F' | b'd' => Ok(MAX_QUERY_BYTES),
         b'E' | b'D' | b'C' | b'S' | b'H' | b'X' | b'c' | b'f' => Ok(MAX_SHORT_MESSAGE_BYTES),
-        other => Err(Broken::Kind(other)),
+        other => Err(ProtocolError::UnknownType(other)),
     };
     let Some(((kind, body), length)) = split_frame(bytes, bound)? else { return Ok(None) };
     let message = match kind {
-        b'Q' => Frontend::Query(body.strip_suffix(&[0]).filter(|q| !q.contains(&0)).ok_or(Broken::Content)?),
-        b'S' => Frontend::Sync,
-        b'X' => Frontend::Terminate,
-        b'c' | b'd' | b'f' | b'H' => Frontend::Ignored,
-        _ => Frontend::Extended,
+        b'Q' => FrontendMessage::Query(
+            body.strip_suffix(&[0]).filter(|q| !q.contains(&0)).ok_or(ProtocolError::MalformedContent)?,
+        ),
+        b'S' => FrontendMessage::Sync,
+        b'X' => FrontendMessage::Terminate,
+        b'c' | b'd' | b'f' | b'H' => FrontendMessage::Ignored,
+        _ => FrontendMessage::Extended,
     };
     Ok(Some((message, length)))
 }
 
 /// A message of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Backend<'a> {
+pub enum BackendMessage<'a> {
     /// The first part of the startup response. 0 means that no password is wanted.
     Authentication(u32),
     /// A parameter of the member, by name and value.
@@ -217,44 +219,49 @@
 }
 
 /// Parses the next message of a member. Everything in it is checked: nested lengths, counts, terminators.
-pub fn backend(bytes: &[u8]) -> Parsed<Backend<'_>> {
+pub fn parse_backend(bytes: &[u8]) -> Parsed<BackendMessage<'_>> {
     let bound = |kind| match kind {
-        b'D' => Ok(MAX_ANSWER),
+        b'D' => Ok(MAX_ANSWER_BYTES),
         b'R' | b'S' | b'K' | b'Z' | b'T' | b'C' | b'E' | b'N' | b'A' | b'I' => Ok(MAX_SHORT_MESSAGE_BYTES),
-        other => Err(Broken::Kind(other)),
+        other => Err(ProtocolError::UnknownType(other)),
     };
     let Some(((kind, body), length)) = split_frame(bytes, bound)? else {
         // A row whose value does not fit its message is recognized before all of it has arrived.
-        let row = Some((bytes, length(bytes))).filter(|(b, _)| b.first() == Some(&b'D'));
+        let row = Some((bytes, message_length(bytes))).filter(|(b, _)| b.first() == Some(&b'D'));
         return row
             .map_or(Ok(()), |(bytes, whole)| check_row_length(bytes.get(5..).unwrap_or_default(), whole))
             .map(|()| None);
     };
     let message = match kind {
-        b'R' => Backend::Authentication(read_be_u32(body, 0).ok_or(Broken::Content)?),
+        b'R' => BackendMessage::Authentication(read_be_u32(body, 0).ok_or(ProtocolError::MalformedContent)?),
         b'S' => {
-            let (name, rest) = split_c_string(body).ok_or(Broken::Content)?;
-            let (value, _) = split_c_string(rest).filter(|(_, end)| end.is_empty()).ok_or(Broken::Content)?;
-            Backend::ParameterStatus(name, value)
+            let (name, rest) = split_c_string(body).ok_or(ProtocolError::MalformedContent)?;
+            let (value, _) = split_c_string(rest)
+                .filter(|(_, end)| end.is_empty())
+                .ok_or(ProtocolError::MalformedContent)?;
+            BackendMessage::ParameterStatus(name, value)
         }
-        b'T' => Backend::RowDescription(parse_column_count(body).ok_or(Broken::Content)?),
-        b'D' => Backend::DataRow(parse_single_column(body)?),
+        b'T' => {
+            BackendMessage::RowDescription(parse_column_count(body).ok_or(ProtocolError::MalformedContent)?)
+        }
+        b'D' => BackendMessage::DataRow(parse_single_column(body)?),
         b'C' => {
             split_c_string(body)
                 .filter(|(tag, end)| !tag.is_empty() && end.is_empty())
-                .ok_or(Broken::Content)?;
-            Backend::CommandComplete
+                .ok_or(ProtocolError::MalformedContent)?;
+            BackendMessage::CommandComplete
         }
         b'E' => {
-            let code =
-                find_error_field(body, b'C').filter(|_| body.ends_with(&[0, 0])).ok_or(Broken::Content)?;
+            let code = find_error_field(body, b'C')
+                .filter(|_| body.ends_with(&[0, 0]))
+                .ok_or(ProtocolError::MalformedContent)?;
             let severity = find_error_field(body, b'V').or(find_error_field(body, b'S')).unwrap_or_default();
             let is_fatal = matches!(severity, b"FATAL" | b"PANIC");
-            Backend::Error(code, if is_fatal { Severity::Fatal } else { Severity::Error })
+            BackendMessage::Error(code, if is_fatal { Severity::Fatal } else { Severity::Error })
         }
-        b'Z' if matches!(body, b"I" | b"T" | b"E") => Backend::Ready,
-        b'Z' => return Err(Broken::Content),
-        _ => Backend::Other,
+        b'Z' if matches!(body, b"I" | b"T" | b"E") => BackendMessage::Ready,
+        b'Z' => return Err(ProtocolError::MalformedContent),
+        _ => BackendMessage::Other,
     };
     Ok(Some((message, length)))
 }
@@ -271,34 +278,38 @@
 
 /// Checks the value's length of a single-column row against the length of the whole message, as far as the
 /// row has arrived.
-fn check_row_length(body: &[u8], whole: usize) -> Result<(), Broken> {
+fn check_row_length(body: &[u8], whole: usize) -> Result<(), ProtocolError> {
     match (read_be_u16(body, 0), read_be_u32(body, 2)) {
         (Some(1), Some(length)) if length != u32::MAX && length as usize + 11 != whole => {
-            Err(Broken::Content)
+            Err(ProtocolError::MalformedContent)
         }
         _ => Ok(()),
     }
 }
 
 /// The value of a row with a single column; None for a null or for another number of columns.
-fn parse_single_column(body: &[u8]) -> Result<Option<&[u8]>, Broken> {
-    if read_be_u16(body, 0).ok_or(Broken::Content)? != 1 {
+fn parse_single_column(body: &[u8]) -> Result<Option<&[u8]>, ProtocolError> {
+    if read_be_u16(body, 0).ok_or(ProtocolError::MalformedContent)? != 1 {
         return Ok(None);
     }
-    match read_be_u32(body, 2).ok_or(Broken::Content)? {
+    match read_be_u32(body, 2).ok_or(ProtocolError::MalformedContent)? {
         u32::MAX => Ok(None),
-        length => body.get(6..).filter(|v| v.len() == length as usize).map(Some).ok_or(Broken::Content),
+        length => body
+            .get(6..)
+            .filter(|v| v.len() == length as usize)
+            .map(Some)
+            .ok_or(ProtocolError::MalformedContent),
     }
 }
 
 /// Splits off a message: its type, its content and its whole length.
-fn split_frame(bytes: &[u8], bound: impl Fn(u8) -> Result<usize, Broken>) -> Parsed<(u8, &[u8])> {
+fn split_frame(bytes: &[u8], bound: impl Fn(u8) -> Result<usize, ProtocolError>) -> Parsed<(u8, &[u8])> {
     let Some(&kind) = bytes.first() else { return Ok(None) };
     let bound = bound(kind)?;
     let Some(length) = read_be_u32(bytes, 1) else { return Ok(None) };
     let length = length as usize;
     if !(4..=bound).contains(&length) {
-        return Err(Broken::Length);
+        return Err(ProtocolError::InvalidLength);
     }
     Ok(bytes.get(5..1 + length).map(|body| ((kind, body), 1 + length)))
 }
@@ -351,7 +362,7 @@
 
 /// Appends the startup response to a client: no password, the parameters that client libraries expect, the
 /// cancel key, and ReadyForQuery.
-pub fn put_welcome(out: &mut Vec<u8>, key: u64) {
+pub fn put_startup_response(out: &mut Vec<u8>, key: u64) {
     put_message(out, b'R', |out| out.extend([0; 4]));
     for (name, value) in [
         ("server_version", "15.0"),
@@ -367,16 +378,16 @@
         });
     }
     put_message(out, b'K', |out| out.extend(key.to_be_bytes()));
-    put_ready(out);
+    put_ready_for_query(out);
 }
 
 /// Appends ReadyForQuery, outside any transaction.
-pub fn put_ready(out: &mut Vec<u8>) {
+pub fn put_ready_for_query(out: &mut Vec<u8>) {
     put_message(out, b'Z', |out| out.push(b'I'));
 }
 
 /// Appends EmptyQueryResponse.
-pub fn put_empty(out: &mut Vec<u8>) {
+pub fn put_empty_query_response(out: &mut Vec<u8>) {
     put_message(out, b'I', |_| {});
 }
 
@@ -433,7 +444,7 @@
 
 /// What a client's statement says about its request.
 #[derive(Debug, PartialEq, Eq)]
-pub struct RequestText<'a> {
+pub struct ParsedRequest<'a> {
     /// The id that the client gave the request.
     pub id: &'a str,
     /// The name of its class.
@@ -441,21 +452,21 @@
     /// How long the client waits, in milliseconds.
     pub wait_ms: u32,
     /// Where the statement holds that number.
-    pub wait_at: Range<usize>,
+    pub wait_range: Range<usize>,
     /// Whether the client says that it sent this request before.
-    pub repeat: bool,
+    pub is_repeat: bool,
     /// The number of the group.
     pub group: u32,
     /// The position that a read has to see, as Unix time in milliseconds.
-    pub after: Option<u64>,
+    pub min_position_ms: Option<u64>,
     /// Whether there is an idempotency key.
-    pub keyed: bool,
+    pub has_idempotency_key: bool,
     /// The key, which is the first quoted text of the statement.
     pub key: &'a [u8],
 }
 
 /// Parses a statement with its request comment: `/* name=value,... */ statement`.
-pub fn request(query: &[u8]) -> Result<RequestText<'_>, BadRequest> {
+pub fn parse_request(query: &[u8]) -> Result<ParsedRequest<'_>, BadRequest> {
     const BAD_FORM: BadRequest =
         (sqlstate::SYNTAX_ERROR, "the statement does not begin with a request comment");
     const BAD_VALUE: BadRequest =
@@ -499,24 +510,24 @@
             return Err(DUPLICATE_VALUE);
         }
     }
-    let (wait, wait_at) = wait.ok_or(MISSING_VALUE)?;
+    let (wait, wait_range) = wait.ok_or(MISSING_VALUE)?;
     let id = id.ok_or(MISSING_VALUE)?;
     if !(1..=MAX_ID).contains(&id.len()) || key.is_some_and(str::is_empty) {
         return Err(BAD_VALUE);
     }
-    Ok(RequestText {
+    Ok(ParsedRequest {
         id,
         class: class.ok_or(MISSING_VALUE)?,
         wait_ms: parse_digits(wait).ok_or(BAD_VALUE)?,
-        wait_at,
-        repeat: match repeat {
+        wait_range,
+        is_repeat: match repeat {
             None | Some("0") => false,
             Some("1") => true,
             Some(_) => return Err(BAD_VALUE),
         },
         group: parse_digits(group.ok_or(MISSING_VALUE)?).ok_or(BAD_VALUE)?,
-        after: after.map(|a| parse_digits(a).ok_or(BAD_VALUE)).transpose()?,
-        keyed: key.is_some(),
+        min_position_ms: after.map(|a| parse_digits(a).ok_or(BAD_VALUE)).transpose()?,
+        has_idempotency_key: key.is_some(),
         key: find_quoted_key(&rest[end + 2..])?,
     })
 }
@@ -558,7 +569,7 @@
 }
 
 /// Parses a decimal number of a load report, in millionths, rounded down. None if it is malformed.
-pub fn micro_units(text: &str) -> Option<u64> {
+pub fn parse_millionths(text: &str) -> Option<u64> {
     let (whole, part) = text.split_once('.').unwrap_or((text, ""));
     let part = part.get(..part.len().min(6))?;
     let scale = 10u64.checked_pow(6 - part.len() as u32)?;
@@ -567,9 +578,9 @@
 }
 
 /// The value of the row in an answer.
-pub fn single_value(mut answer: &[u8]) -> Option<&[u8]> {
-    while let Ok(Some((message, length))) = backend(answer) {
-        if let Backend::DataRow(value) = message {
+pub fn find_single_value(mut answer: &[u8]) -> Option<&[u8]> {
+    while let Ok(Some((message, length))) = parse_backend(answer) {
+        if let BackendMessage::DataRow(value) = message {
             return value;
         }
         answer = &answer[length..];
--- a/crates/driver/src/shutdown/mod.rs
+++ b/crates/driver/src/shutdown/mod.rs
@@ -53,11 +53,11 @@
             None => {}
             Some(Step::Leave(left)) => {
                 info!("stopping: idle connections are closed, open requests are answered");
-                clients.leave(left);
+                clients.start_shutdown(left);
                 continue;
             }
             Some(Step::Close) => {
-                clients.close();
+                clients.close_all();
                 if let Some(listener) = listener.take() {
                     accept_queued(&node, listener, &clients).await;
                 }
@@ -97,7 +97,7 @@
                 stop_received = true;
                 shutdown.signal(Instant::now());
             }
-            Wake::Accepted(Some((stream, permit))) => clients.welcome(stream, permit),
+            Wake::Accepted(Some((stream, permit))) => clients.accept(stream, permit),
             Wake::Accepted(None) | Wake::Time => {}
         }
     }
@@ -131,7 +131,7 @@
     let deadline = Instant::now() + FINAL_ACCEPT_TIME;
     while let Some(permit) = until(deadline, node.place(&node.descriptors.clients)).await {
         match future::poll_once(listener.accept()).await {
-            Some(Ok((stream, _))) => clients.welcome(stream, permit),
+            Some(Ok((stream, _))) => clients.accept(stream, permit),
             Some(Err(_)) | None => return,
         }
     }
--- a/crates/driver/tests/explore_attempt.rs
+++ b/crates/driver/tests/explore_attempt.rs
@@ -3,8 +3,8 @@
 
 use beaconshore::interface::{Micros, Outcome};
 use beaconshore_driver::buffer::Buffer;
-use beaconshore_driver::member::attempt::{Departure, Next, Present};
-use beaconshore_driver::member::reply::{End, Reply};
+use beaconshore_driver::member::reply::{Reply, ReplyEnd};
+use beaconshore_driver::member::send_state::{SendConditions, SendState, SendStep};
 use beaconshore_rig::wire::{put, put_error, put_row};
 use futures_lite::future::block_on;
 
@@ -38,28 +38,29 @@
 
 /// Plays a series of events; how many bytes of three were written.
 fn play(connected: bool, events: &[Event]) -> u32 {
-    let mut attempt = Departure::new(0, 0, ENDS, connected);
-    let (mut present, mut drained, mut bytes) = (Present { now: 0, lists: 0, withdrawn: false }, false, 0);
+    let mut attempt = SendState::new(0, 0, ENDS, connected);
+    let (mut present, mut drained, mut bytes) =
+        (SendConditions { now: 0, list_version: 0, is_cancelled: false }, false, 0);
     for event in events.iter().copied().chain([Event::Step; 8]) {
         match event {
-            Event::Drain => (present.lists, drained) = (present.lists + 1, true),
-            Event::List => present.lists += 1,
-            Event::Leave => present.withdrawn = true,
+            Event::Drain => (present.list_version, drained) = (present.list_version + 1, true),
+            Event::List => present.list_version += 1,
+            Event::Leave => present.is_cancelled = true,
             Event::Time(passed) => present.now += passed,
-            Event::Block => attempt.blocked(),
-            Event::Step => match attempt.next(present) {
-                Next::Connect => attempt.connected(),
-                Next::Ask => {
-                    let allowed = !drained && !present.withdrawn;
-                    attempt.answered(allowed, present.now, present.lists);
+            Event::Block => attempt.on_blocked(),
+            Event::Step => match attempt.next_step(present) {
+                SendStep::Connect => attempt.on_connected(),
+                SendStep::Confirm => {
+                    let allowed = !drained && !present.is_cancelled;
+                    attempt.on_confirmation(allowed, present.now, present.list_version);
                 }
-                Next::Write if bytes < 3 => {
+                SendStep::Write if bytes < 3 => {
                     assert!(!drained, "{events:?}: no byte to a member that is known to drain");
-                    assert!(!present.withdrawn, "{events:?}: no byte for a client that has gone");
+                    assert!(!present.is_cancelled, "{events:?}: no byte for a client that has gone");
                     assert!(present.now < ENDS, "{events:?}: no byte after its time");
                     bytes += 1;
                 }
-                Next::Write | Next::GiveUp => {}
+                SendStep::Write | SendStep::GiveUp => {}
             },
         }
     }
@@ -91,15 +92,15 @@
     let mut ended = None;
     while ended.is_none() && !rest.is_empty() {
         block_on(buffer.fill(answer.len(), &mut rest)).unwrap();
-        ended = reply.take(&mut buffer);
+        ended = reply.read_messages(&mut buffer);
     }
     match (ended, then) {
         (Some(_), _) => {}
         (None, 0) => {}
-        (None, 1) if reply.patience(!buffer.filled().is_empty()).is_some() => drop(reply.spoil()),
+        (None, 1) if reply.read_timeout(!buffer.filled().is_empty()).is_some() => drop(reply.abort()),
         (None, _) => reply.time_out(),
     }
-    (reply.outcome, reply.served.messages)
+    (reply.outcome, reply.answer.messages)
 }
 
 /// Wherever an answer is cut: nothing but a whole value is served, and "never ran" is said only by a member that said so.
@@ -138,7 +139,7 @@
     answer.extend(b"E\0\0");
     let (mut buffer, mut reply) = (Buffer::default(), Reply::awaited());
     block_on(buffer.fill(answer.len(), &mut &answer[..])).unwrap();
-    assert_eq!(reply.take(&mut buffer), Some(End::Ready));
+    assert_eq!(reply.read_messages(&mut buffer), Some(ReplyEnd::Ready));
     assert_eq!((reply.outcome, buffer.filled().len()), (Outcome::Served, answer.len() - whole));
 }
 
@@ -174,8 +175,8 @@
         let mut reader = Halting { parts: vec![Some(second), None, None, Some(first), None] };
         let (mut buffer, mut reply) = (Buffer::default(), Reply::awaited());
         let mut dropped = 0;
-        while reply.take(&mut buffer).is_none() {
-            let length = beaconshore_driver::pg::length(buffer.filled());
+        while reply.read_messages(&mut buffer).is_none() {
+            let length = beaconshore_driver::pg::message_length(buffer.filled());
             match block_on(futures_lite::future::poll_once(buffer.fill(length, &mut reader))) {
                 Some(count) => assert!(count.unwrap() > 0),
                 None => dropped += 1,
--- a/crates/driver/tests/explore_connection.rs
+++ b/crates/driver/tests/explore_connection.rs
@@ -7,9 +7,10 @@
 
 use beaconshore::interface::RequestId;
 use beaconshore_driver::client::connection::{
-    Connection, Look, Phase, Reading, Todo, DEPARTURE_CHECK, LINGER, LINGER_BYTES, MAX_OPEN, WRITE_WAIT,
+    ConnectionState, Input, NextStep, Phase, ReadMode, DISCONNECT_CHECK_INTERVAL, LINGER_TIMEOUT,
+    MAX_LINGER_BYTES, MAX_OPEN_REQUESTS, OUTPUT_STALL_TIMEOUT,
 };
-use beaconshore_driver::client::{Answer, CancelFlag, Served};
+use beaconshore_driver::client::{Answer, CancelFlag, MemberAnswer};
 use beaconshore_driver::pg;
 use beaconshore_rig::wire::{put, query, startup};
 
@@ -50,7 +51,7 @@
 
 /// An actor that only carries bytes, as the real one does.
 struct Rig {
-    connection: Connection,
+    connection: ConnectionState,
     now: Instant,
     phase: Phase,
     /// Arrived at this machine and not read; read and not looked at.
@@ -70,7 +71,7 @@
     fn new() -> Rig {
         let now = Instant::now();
         Rig {
-            connection: Connection::new(7, now),
+            connection: ConnectionState::new(7, now),
             now,
             phase: Phase::Serving,
             arrived: Vec::new(),
@@ -85,7 +86,7 @@
         }
     }
 
-    fn leave(&mut self, left: Vec<beaconshore_driver::client::connection::Left>) {
+    fn leave(&mut self, left: Vec<beaconshore_driver::client::connection::AbandonedRequest>) {
         for left in left {
             self.seen.left += 1;
             self.open.retain(|id| *id != left.id);
@@ -96,7 +97,7 @@
 
     /// The client has gone, as far as this side can tell.
     fn gone(&mut self) {
-        let left = self.connection.gone();
+        let left = self.connection.disconnected();
         self.leave(left);
         self.seen.departed = true;
     }
@@ -108,7 +109,7 @@
         if discards {
             self.buffer.clear();
         }
-        self.connection.read(count, was_empty, self.now);
+        self.connection.on_read(count, was_empty, self.now);
     }
 
     /// Goes on until there is nothing to do but to wait.
@@ -122,49 +123,52 @@
             if wrote && !self.buffer.is_empty() {
                 continue;
             }
-            match self.connection.next(self.phase, !self.buffer.is_empty(), self.now) {
-                Todo::Close => return self.close(),
-                Todo::Write => {}
-                Todo::Shut => {
+            match self.connection.next_step(self.phase, !self.buffer.is_empty(), self.now) {
+                NextStep::Close => return self.close(),
+                NextStep::Write => {}
+                NextStep::ShutdownWrite => {
                     assert!(!self.seen.shut, "sending is shut once");
                     assert!(self.open.is_empty(), "sending is shut while an answer is owed");
                     self.seen.shut = true;
-                    self.connection.shut(self.now);
+                    self.connection.on_write_shutdown(self.now);
                 }
-                Todo::LastLook if self.arrived.is_empty() && self.fin => self.gone(),
-                Todo::LastLook if self.arrived.is_empty() => self.connection.nothing_came(),
-                Todo::LastLook => self.read(false),
-                Todo::Wait(wait) => {
-                    let reads = wait.reading != Reading::Nothing;
+                NextStep::CheckInput if self.arrived.is_empty() && self.fin => self.gone(),
+                NextStep::CheckInput if self.arrived.is_empty() => self.connection.on_no_input(),
+                NextStep::CheckInput => self.read(false),
+                NextStep::Wait(wait) => {
+                    let reads = wait.read_mode != ReadMode::Paused;
                     match (reads, self.arrived.is_empty(), self.fin) {
-                        (true, false, _) => self.read(wait.reading == Reading::Discard),
+                        (true, false, _) => self.read(wait.read_mode == ReadMode::Discard),
                         (true, true, true) => self.gone(),
                         // Where the input stays unread, the end behind it is looked for.
-                        (false, _, true) if wait.watches => self.gone(),
+                        (false, _, true) if wait.watches_disconnect => self.gone(),
                         _ => {
-                            self.wait_until = wait.until;
-                            assert!(wait.until.is_some() || wait.watches || reads, "it waits for something");
+                            self.wait_until = wait.deadline;
+                            assert!(
+                                wait.deadline.is_some() || wait.watches_disconnect || reads,
+                                "it waits for something"
+                            );
                             return;
                         }
                     }
                 }
             }
         }
-        let next = self.connection.next(self.phase, !self.buffer.is_empty(), self.now);
+        let next = self.connection.next_step(self.phase, !self.buffer.is_empty(), self.now);
         panic!("it never comes to rest: {next:?}, {:?}", self.seen);
     }
 
     fn look(&mut self) {
         loop {
-            match self.connection.look(&self.buffer, self.now) {
-                Look::Nothing => return,
-                Look::Passed(length) => drop(self.buffer.drain(..length)),
-                Look::Login(startup) => {
+            match self.connection.next_input(&self.buffer, self.now) {
+                Input::NotReady => return,
+                Input::Consume(length) => drop(self.buffer.drain(..length)),
+                Input::Startup(startup) => {
                     let length = startup.len();
                     self.buffer.drain(..length);
                 }
-                Look::Cancel(_, length) => drop(self.buffer.drain(..length)),
-                Look::Request(_, length) => {
+                Input::Cancel(_, length) => drop(self.buffer.drain(..length)),
+                Input::Request(_, length) => {
                     assert!(!self.seen.shut, "nothing is taken after the shutdown");
                     assert!(!self.seen.departed, "nothing is taken from a client that has gone");
                     self.buffer.drain(..length);
@@ -173,7 +177,7 @@
                     self.open.push(id);
                     self.cancel_flag.push((id, cancel_flag.clone()));
                     self.seen.taken += 1;
-                    self.connection.took(id, Rc::from(&b"x"[..]), cancel_flag, None, self.now);
+                    self.connection.request_accepted(id, Rc::from(&b"x"[..]), cancel_flag, None, self.now);
                 }
             }
         }
@@ -181,7 +185,7 @@
 
     fn flush(&mut self) -> bool {
         let mut wrote = false;
-        while let Some(bytes) = self.connection.output(self.now) {
+        while let Some(bytes) = self.connection.pending_output(self.now) {
             if self.blocked {
                 break;
             }
@@ -189,14 +193,14 @@
             // A part at a time: the state keeps track of what is left.
             let count = bytes.len().min(5);
             self.seen.written.extend_from_slice(&bytes[..count]);
-            self.connection.wrote(count, self.now);
+            self.connection.on_written(count, self.now);
             wrote = true;
         }
         wrote
     }
 
     fn close(&mut self) {
-        let left = self.connection.gone();
+        let left = self.connection.disconnected();
         self.leave(left);
         self.seen.closed = true;
     }
@@ -210,17 +214,17 @@
                 let Some(id) = (!self.open.is_empty()).then(|| self.open.remove(0)) else { return };
                 let mut messages = Vec::new();
                 beaconshore_rig::wire::put_row(&mut messages, b"value");
-                let served = Served { messages, large: None };
-                assert!(self.connection.answered(id, Answer::Served(served)).is_some());
+                let served = MemberAnswer { messages, large_permit: None };
+                assert!(self.connection.queue_answer(id, Answer::Served(served)).is_some());
                 self.seen.answered += 1;
             }
-            Event::Room => drop(self.connection.make_room(self.phase, !self.buffer.is_empty(), self.now)),
-            Event::Leave => self.phase = Phase::Leaving,
+            Event::Room => drop(self.connection.evict(self.phase, !self.buffer.is_empty(), self.now)),
+            Event::Leave => self.phase = Phase::ShuttingDown,
             Event::Close => {
                 self.phase = Phase::Closing;
                 // The module fails what is open.
                 for id in std::mem::take(&mut self.open) {
-                    assert!(self.connection.answered(id, Answer::Failed).is_some());
+                    assert!(self.connection.queue_answer(id, Answer::Failed).is_some());
                     self.seen.answered += 1;
                 }
             }
@@ -241,10 +245,10 @@
 /// Messages of the kind that answers a request: ReadyForQuery behind a value or an error.
 fn whole_answers(bytes: &[u8]) -> usize {
     let (mut rest, mut answers, mut value) = (bytes, 0, false);
-    while let Ok(Some((message, length))) = pg::backend(rest) {
+    while let Ok(Some((message, length))) = pg::parse_backend(rest) {
         match message {
-            pg::Backend::CommandComplete | pg::Backend::Error(..) => value = true,
-            pg::Backend::Ready if std::mem::take(&mut value) => answers += 1,
+            pg::BackendMessage::CommandComplete | pg::BackendMessage::Error(..) => value = true,
+            pg::BackendMessage::Ready if std::mem::take(&mut value) => answers += 1,
             _ => {}
         }
         rest = &rest[length..];
@@ -270,7 +274,7 @@
         }
         let seen = &rig.seen;
         assert!(seen.closed, "{order:?}: it ends");
-        assert!(rig.now - start <= LINGER + WRITE_WAIT, "{order:?}");
+        assert!(rig.now - start <= LINGER_TIMEOUT + OUTPUT_STALL_TIMEOUT, "{order:?}");
         assert_eq!(seen.taken, seen.answered + seen.left, "{order:?}: one end for each request: {seen:?}");
         // Nothing is left open but by its client's departure.
         assert!(seen.left == 0 || seen.departed, "{order:?}: {seen:?}");
@@ -361,7 +365,7 @@
 #[test]
 fn after_the_shutdown_all_is_discarded_within_a_bound() {
     let mut rig = Rig::new();
-    let mut pieces = vec![[startup(), b"?????".to_vec()].concat(), vec![b'x'; LINGER_BYTES - 1], read(1)];
+    let mut pieces = vec![[startup(), b"?????".to_vec()].concat(), vec![b'x'; MAX_LINGER_BYTES - 1], read(1)];
     rig.happen(Event::Bytes, &mut pieces);
     assert!(rig.seen.shut && !rig.seen.closed);
     rig.happen(Event::Bytes, &mut pieces);
@@ -374,15 +378,15 @@
 #[test]
 fn a_departure_behind_unread_requests_is_seen() {
     let mut rig = Rig::new();
-    let all = (0..MAX_OPEN as u32 + 5).flat_map(read).collect::<Vec<u8>>();
+    let all = (0..MAX_OPEN_REQUESTS as u32 + 5).flat_map(read).collect::<Vec<u8>>();
     let mut pieces = vec![[startup(), all].concat()];
     rig.happen(Event::Bytes, &mut pieces);
-    assert_eq!(rig.seen.taken, MAX_OPEN);
-    let Todo::Wait(wait) = rig.connection.next(rig.phase, true, rig.now) else { panic!("it waits") };
-    assert!(wait.watches && wait.reading == Reading::Ahead);
-    assert!(DEPARTURE_CHECK <= Duration::from_millis(50), "well within a tenth of a second");
+    assert_eq!(rig.seen.taken, MAX_OPEN_REQUESTS);
+    let NextStep::Wait(wait) = rig.connection.next_step(rig.phase, true, rig.now) else { panic!("it waits") };
+    assert!(wait.watches_disconnect && wait.read_mode == ReadMode::Ahead);
+    assert!(DISCONNECT_CHECK_INTERVAL <= Duration::from_millis(50), "well within a tenth of a second");
     rig.gone();
-    assert_eq!((rig.seen.left, rig.open.len()), (MAX_OPEN, 0));
+    assert_eq!((rig.seen.left, rig.open.len()), (MAX_OPEN_REQUESTS, 0));
 }
 
 /// A client that cancels has each open request answered with that, and left.
@@ -392,13 +396,16 @@
     let mut pieces = vec![[startup(), read(1), read(2)].concat()];
     rig.happen(Event::Bytes, &mut pieces);
     let first = rig.open.remove(0);
-    assert!(rig.connection.answered(first, Answer::Failed).is_some());
-    let left = rig.connection.cancelled();
+    assert!(rig.connection.queue_answer(first, Answer::Failed).is_some());
+    let left = rig.connection.cancel_requests();
     assert_eq!(left.len(), 1);
     let second = left[0].id;
     rig.leave(left);
     rig.run();
     assert_eq!(whole_answers(&rig.seen.written), 2);
-    assert!(rig.connection.answered(second, Answer::Failed).is_none(), "its answer crossed the cancellation");
-    assert!(rig.connection.has_cancelled());
+    assert!(
+        rig.connection.queue_answer(second, Answer::Failed).is_none(),
+        "its answer crossed the cancellation"
+    );
+    assert!(rig.connection.has_cancelled_requests());
 }
--- a/crates/driver/tests/explore_life.rs
+++ b/crates/driver/tests/explore_life.rs
@@ -8,11 +8,11 @@
 
 use beaconshore::interface::*;
 use beaconshore::Router;
-use beaconshore_driver::client::connection::{Connection, Look, Phase, Reading, Todo};
-use beaconshore_driver::client::{Answer, CancelFlag, Served};
-use beaconshore_driver::member::attempt::{Departure, Next, Present};
-use beaconshore_driver::module::requests::{Arrived, Requests};
-use beaconshore_driver::module::Statement;
+use beaconshore_driver::client::connection::{ConnectionState, Input, NextStep, Phase, ReadMode};
+use beaconshore_driver::client::{Answer, CancelFlag, MemberAnswer};
+use beaconshore_driver::decision::open_requests::{AddResult, OpenRequests};
+use beaconshore_driver::decision::Statement;
+use beaconshore_driver::member::send_state::{SendConditions, SendState, SendStep};
 use beaconshore_rig::wire::{query, startup};
 
 const MS: Micros = 1_000;
@@ -89,7 +89,7 @@
 
 struct Attempt {
     member: MemberId,
-    departure: Departure,
+    departure: SendState,
     ends: Micros,
     cancel_flag: CancelFlag,
     state: State,
@@ -100,7 +100,7 @@
     start: Instant,
     connected: bool,
     // The client's side, and its actor.
-    connection: Connection,
+    connection: ConnectionState,
     arrived: Vec<u8>,
     buffer: Vec<u8>,
     fin: bool,
@@ -109,7 +109,7 @@
     answers: VecDeque<(RequestId, Answer)>,
     // The module's.
     router: Router,
-    open: Requests<()>,
+    open: OpenRequests<()>,
     mail: VecDeque<Mail>,
     lists: VecDeque<ListEntry>,
     taken_in: u64,
@@ -134,7 +134,7 @@
             now: START,
             start,
             connected,
-            connection: Connection::new(1, start),
+            connection: ConnectionState::new(1, start),
             arrived: startup(),
             buffer: Vec::new(),
             fin: false,
@@ -142,7 +142,7 @@
             ids: 0,
             answers: VecDeque::new(),
             router,
-            open: Requests::default(),
+            open: OpenRequests::default(),
             mail: VecDeque::new(),
             lists: VecDeque::new(),
             taken_in: 0,
@@ -199,60 +199,66 @@
 
     fn client(&mut self) {
         while let Some((id, answer)) = self.answers.pop_front() {
-            if self.connection.answered(id, answer).is_some() {
+            if self.connection.queue_answer(id, answer).is_some() {
                 *self.ends.entry(id).or_default() += 1;
             }
         }
         while !self.closed {
             let now = self.instant();
-            match self.connection.look(&self.buffer, now) {
-                Look::Nothing => {}
-                Look::Passed(length) => drop(self.buffer.drain(..length)),
-                Look::Login(startup) => {
+            match self.connection.next_input(&self.buffer, now) {
+                Input::NotReady => {}
+                Input::Consume(length) => drop(self.buffer.drain(..length)),
+                Input::Startup(startup) => {
                     let length = startup.len();
                     self.buffer.drain(..length);
                 }
-                Look::Request(text, length) => {
+                Input::Request(text, length) => {
                     let text = String::from_utf8_lossy(text).into_owned();
                     let class = CLASSES.iter().position(|c| text.contains(&format!("c={c},"))).unwrap();
                     self.buffer.drain(..length);
                     self.ids += 1;
                     let (id, cancel_flag) = (RequestId(self.ids), CancelFlag::default());
-                    self.connection.took(id, Rc::from(text.as_bytes()), cancel_flag.clone(), None, now);
+                    self.connection.request_accepted(
+                        id,
+                        Rc::from(text.as_bytes()),
+                        cancel_flag.clone(),
+                        None,
+                        now,
+                    );
                     self.taken.insert(id, class);
                     self.mail.push_back(Mail::Request(id, class, cancel_flag));
                     continue;
                 }
-                Look::Cancel(..) => unreachable!("nobody cancels here"),
+                Input::Cancel(..) => unreachable!("nobody cancels here"),
             }
-            while let Some(length) = self.connection.output(now).map(<[u8]>::len) {
-                self.connection.wrote(length, now);
+            while let Some(length) = self.connection.pending_output(now).map(<[u8]>::len) {
+                self.connection.on_written(length, now);
             }
-            let end = match self.connection.next(Phase::Serving, !self.buffer.is_empty(), now) {
-                Todo::Wait(wait) if wait.reading != Reading::Nothing && !self.arrived.is_empty() => {
+            let end = match self.connection.next_step(Phase::Serving, !self.buffer.is_empty(), now) {
+                NextStep::Wait(wait) if wait.read_mode != ReadMode::Paused && !self.arrived.is_empty() => {
                     let (count, was_empty) = (self.arrived.len(), self.buffer.is_empty());
                     self.buffer.append(&mut self.arrived);
-                    self.connection.read(count, was_empty, now);
+                    self.connection.on_read(count, was_empty, now);
                     continue;
                 }
-                Todo::Wait(_) => self.fin,
-                Todo::Close => true,
-                Todo::Shut => {
-                    self.connection.shut(now);
+                NextStep::Wait(_) => self.fin,
+                NextStep::Close => true,
+                NextStep::ShutdownWrite => {
+                    self.connection.on_write_shutdown(now);
                     continue;
                 }
-                Todo::LastLook if self.fin => true,
-                Todo::LastLook => {
-                    self.connection.nothing_came();
+                NextStep::CheckInput if self.fin => true,
+                NextStep::CheckInput => {
+                    self.connection.on_no_input();
                     continue;
                 }
-                Todo::Write => continue,
+                NextStep::Write => continue,
             };
             if !end {
                 return;
             }
             self.closed = true;
-            for left in self.connection.gone() {
+            for left in self.connection.disconnected() {
                 *self.ends.entry(left.id).or_default() += 1;
                 self.left.push(left.id);
                 self.mail.push_back(Mail::HungUp(left.id));
@@ -271,9 +277,9 @@
                 None => return self.handle(beaconshore::interface::Event::Timer),
                 Some(Mail::Request(id, class, cancel_flag)) => {
                     let budget = settings().classes[class].deadline;
-                    let statement = Statement { text: Box::default(), wait_at: 0..0 };
+                    let statement = Statement { text: Box::default(), wait_range: 0..0 };
                     let ends = self.now + budget;
-                    if self.open.arrive(id, (), Rc::new(statement), ends, cancel_flag) == Arrived::Left {
+                    if self.open.add(id, (), Rc::new(statement), ends, cancel_flag) == AddResult::ClientGone {
                         continue;
                     }
                     let (group, session, repeat, last_write_ago) = (GroupId(0), None, false, None);
@@ -281,25 +287,25 @@
                     self.handle(beaconshore::interface::Event::Request(request));
                 }
                 Some(Mail::HungUp(id)) => {
-                    let Some(out) = self.open.leave(id) else { continue };
+                    let Some(out) = self.open.abandon(id) else { continue };
                     out.into_iter().for_each(|_| self.cancel(id));
                     self.handle(beaconshore::interface::Event::ClientDisconnected(id));
                 }
                 Some(Mail::Finish) => {
-                    for (id, open) in self.open.finish() {
-                        open.out.into_iter().for_each(|_| self.cancel(id));
+                    for (id, open) in self.open.drain() {
+                        open.in_flight_at.into_iter().for_each(|_| self.cancel(id));
                         self.handle(beaconshore::interface::Event::ClientDisconnected(id));
                         self.answers.push_back((id, Answer::Failed));
                     }
                 }
                 Some(Mail::Confirm(id, member)) => {
-                    let allowed = self.open.is_wanted(id) && self.router.confirm(self.now, id, member);
+                    let allowed = self.open.is_awaited(id) && self.router.confirm(self.now, id, member);
                     self.replies.push_back((id, allowed, self.now, self.taken_in));
                 }
                 Some(Mail::Ended(request, member, outcome, served)) => {
-                    assert!(self.open.ended(request, member), "an attempt that ends was out");
+                    assert!(self.open.end_attempt(request, member), "an attempt that ends was out");
                     if served {
-                        self.answer(request, Answer::Served(Served::default()));
+                        self.answer(request, Answer::Served(MemberAnswer::default()));
                     }
                     let finished = !self.open.is_open(request);
                     let (note, took, report) = (ReplyStatus::default(), 5 * MS, Report::default());
@@ -318,8 +324,8 @@
     }
 
     fn answer(&mut self, id: RequestId, answer: Answer) {
-        let Some(open) = self.open.answer(id) else { return };
-        assert!(open.out.is_none(), "no attempt is out when its request is answered");
+        let Some(open) = self.open.end(id) else { return };
+        assert!(open.in_flight_at.is_none(), "no attempt is out when its request is answered");
         self.answers.push_back((id, answer));
     }
 
@@ -329,10 +335,11 @@
         for action in actions {
             match action {
                 Action::Send { request, member, wait } => {
-                    let sending = self.open.send(request, member, wait, self.now).expect("it is open");
-                    assert!(sending.alone, "a request has one attempt out");
-                    let departure = Departure::new(self.now, self.taken_in, sending.ends, self.connected);
-                    let (ends, cancel_flag, state) = (sending.ends, sending.cancel_flag, State::Leaving);
+                    let sending =
+                        self.open.start_attempt(request, member, wait, self.now).expect("it is open");
+                    assert!(sending.is_only_attempt, "a request has one attempt out");
+                    let departure = SendState::new(self.now, self.taken_in, sending.deadline, self.connected);
+                    let (ends, cancel_flag, state) = (sending.deadline, sending.cancel_flag, State::Leaving);
                     let attempt = Attempt { member, departure, ends, cancel_flag, state };
                     assert!(self.attempts.insert(request, attempt).is_none(), "one at a time");
                 }
@@ -346,7 +353,7 @@
     fn attempts(&mut self) {
         while let Some((id, allowed, at, lists)) = self.replies.pop_front() {
             if let Some(attempt) = self.attempts.get_mut(&id).filter(|a| a.state == State::Asking) {
-                attempt.departure.answered(allowed, at, lists);
+                attempt.departure.on_confirmation(allowed, at, lists);
                 attempt.state = State::Leaving;
             }
         }
@@ -360,19 +367,23 @@
                 if attempt.state != State::Leaving {
                     break;
                 }
-                let (lists, withdrawn) = (self.taken_in, attempt.cancel_flag.is_cancelled());
-                match attempt.departure.next(Present { now: self.now, lists, withdrawn }) {
-                    Next::Connect => attempt.departure.connected(),
-                    Next::Ask => {
+                let (list_version, is_cancelled) = (self.taken_in, attempt.cancel_flag.is_cancelled());
+                match attempt.departure.next_step(SendConditions {
+                    now: self.now,
+                    list_version,
+                    is_cancelled,
+                }) {
+                    SendStep::Connect => attempt.departure.on_connected(),
+                    SendStep::Confirm => {
                         attempt.state = State::Asking;
                         self.mail.push_back(Mail::Confirm(id, attempt.member));
                     }
-                    Next::GiveUp => {
+                    SendStep::GiveUp => {
                         let member = self.attempts.remove(&id).unwrap().member;
                         self.mail.push_back(Mail::Ended(id, member, Outcome::NeverSent, false));
                         break;
                     }
-                    Next::Write => {
+                    SendStep::Write => {
                         attempt.state = State::Written;
                         let member = attempt.member;
                         self.write(id, member);
@@ -429,7 +440,7 @@
                 assert_eq!(life.ends.get(id), Some(&1), "one end for each request");
             }
             assert!(life.attempts.is_empty() && life.mail.is_empty(), "nothing is left behind");
-            assert!(life.open.finish().is_empty());
+            assert!(life.open.drain().is_empty());
             assert_eq!(life.router.sizes().requests, 0, "the module holds nothing");
             lives += 1;
         }
--- a/crates/driver/tests/parsers.rs
+++ b/crates/driver/tests/parsers.rs
@@ -4,7 +4,7 @@
 use beaconshore_driver::config::Config;
 use beaconshore_driver::listing::{Lifecycle, Listing};
 use beaconshore_driver::peers::PeerMessage;
-use beaconshore_driver::pg::{self, Backend, Broken, Frontend, Opening, Severity};
+use beaconshore_driver::pg::{self, BackendMessage, FirstMessage, FrontendMessage, ProtocolError, Severity};
 use beaconshore_driver::{http, peers};
 
 /// Numbers that look random and are the same each time (xorshift).
@@ -37,54 +37,67 @@
 fn every_proper_prefix_of_a_message_is_incomplete() {
     let message = query(REQUEST);
     for length in 0..message.len() {
-        assert_eq!(pg::frontend(&message[..length]), Ok(None), "{length}");
+        assert_eq!(pg::parse_frontend(&message[..length]), Ok(None), "{length}");
     }
-    assert_eq!(pg::frontend(&message), Ok(Some((Frontend::Query(REQUEST), message.len()))));
+    assert_eq!(pg::parse_frontend(&message), Ok(Some((FrontendMessage::Query(REQUEST), message.len()))));
     let longer = [&message[..], b"X"].concat();
-    assert_eq!(pg::frontend(&longer), Ok(Some((Frontend::Query(REQUEST), message.len()))));
+    assert_eq!(pg::parse_frontend(&longer), Ok(Some((FrontendMessage::Query(REQUEST), message.len()))));
 
     let mut startup = Vec::new();
     pg::put_startup(&mut startup);
     for length in 0..startup.len() {
-        assert_eq!(pg::opening(&startup[..length]), Ok(None), "{length}");
+        assert_eq!(pg::parse_first_message(&startup[..length]), Ok(None), "{length}");
     }
-    assert_eq!(pg::opening(&startup), Ok(Some((Opening::Startup, startup.len()))));
+    assert_eq!(pg::parse_first_message(&startup), Ok(Some((FirstMessage::Startup, startup.len()))));
 
     let mut answer = Vec::new();
     pg::put_error(&mut answer, Severity::Error, "53300", "full", Some("12"));
     for length in 0..answer.len() {
-        assert_eq!(pg::backend(&answer[..length]), Ok(None), "{length}");
+        assert_eq!(pg::parse_backend(&answer[..length]), Ok(None), "{length}");
     }
-    assert_eq!(pg::backend(&answer), Ok(Some((Backend::Error(b"53300", Severity::Error), answer.len()))));
+    assert_eq!(
+        pg::parse_backend(&answer),
+        Ok(Some((BackendMessage::Error(b"53300", Severity::Error), answer.len())))
+    );
 }
 
 #[test]
 fn openings_are_told_apart() {
-    let opening = |code: u32| pg::opening(&[&8u32.to_be_bytes()[..], &code.to_be_bytes()].concat());
-    assert_eq!(opening(80_877_103), Ok(Some((Opening::Encryption, 8))));
-    assert_eq!(opening(80_877_104), Ok(Some((Opening::Encryption, 8))));
-    assert_eq!(opening(2 << 16), Err(Broken::Version));
-    assert_eq!(pg::opening(&[0, 0, 0, 7]), Err(Broken::Length));
-    assert_eq!(pg::opening(&[0xff, 0, 0, 0]), Err(Broken::Length));
+    let opening =
+        |code: u32| pg::parse_first_message(&[&8u32.to_be_bytes()[..], &code.to_be_bytes()].concat());
+    assert_eq!(opening(80_877_103), Ok(Some((FirstMessage::EncryptionRequest, 8))));
+    assert_eq!(opening(80_877_104), Ok(Some((FirstMessage::EncryptionRequest, 8))));
+    assert_eq!(opening(2 << 16), Err(ProtocolError::UnsupportedVersion));
+    assert_eq!(pg::parse_first_message(&[0, 0, 0, 7]), Err(ProtocolError::InvalidLength));
+    assert_eq!(pg::parse_first_message(&[0xff, 0, 0, 0]), Err(ProtocolError::InvalidLength));
     let cancel = [&16u32.to_be_bytes()[..], &80_877_102u32.to_be_bytes(), &[1, 2, 3, 4, 5, 6, 7, 8]].concat();
-    assert_eq!(pg::opening(&cancel), Ok(Some((Opening::Cancel(0x0102_0304_0506_0708), 16))));
+    assert_eq!(
+        pg::parse_first_message(&cancel),
+        Ok(Some((FirstMessage::CancelRequest(0x0102_0304_0506_0708), 16)))
+    );
     let short = [&12u32.to_be_bytes()[..], &80_877_102u32.to_be_bytes(), &[0; 4]].concat();
-    assert_eq!(pg::opening(&short), Err(Broken::Content));
+    assert_eq!(pg::parse_first_message(&short), Err(ProtocolError::MalformedContent));
 }
 
 #[test]
 fn lengths_out_of_bounds_and_unknown_kinds_end_a_stream_at_once() {
     let header = |kind: u8, length: usize| [&[kind][..], &(length as u32).to_be_bytes()].concat();
-    assert_eq!(pg::frontend(&header(b'Q', pg::MAX_QUERY)), Ok(None));
-    assert_eq!(pg::frontend(&header(b'Q', pg::MAX_QUERY + 1)), Err(Broken::Length));
-    assert_eq!(pg::frontend(&header(b'Q', 3)), Err(Broken::Length));
-    assert_eq!(pg::frontend(b"?"), Err(Broken::Kind(b'?')));
-    assert_eq!(pg::frontend(b"p"), Err(Broken::Kind(b'p')));
-    assert_eq!(pg::backend(&header(b'D', pg::MAX_ANSWER + 1)), Err(Broken::Length));
-    assert_eq!(pg::backend(&header(b'S', pg::MAX_ANSWER)), Err(Broken::Length));
+    assert_eq!(pg::parse_frontend(&header(b'Q', pg::MAX_QUERY_BYTES)), Ok(None));
+    assert_eq!(pg::parse_frontend(&header(b'Q', pg::MAX_QUERY_BYTES + 1)), Err(ProtocolError::InvalidLength));
+    assert_eq!(pg::parse_frontend(&header(b'Q', 3)), Err(ProtocolError::InvalidLength));
+    assert_eq!(pg::parse_frontend(b"?"), Err(ProtocolError::UnknownType(b'?')));
+    assert_eq!(pg::parse_frontend(b"p"), Err(ProtocolError::UnknownType(b'p')));
+    assert_eq!(pg::parse_backend(&header(b'D', pg::MAX_ANSWER_BYTES + 1)), Err(ProtocolError::InvalidLength));
+    assert_eq!(pg::parse_backend(&header(b'S', pg::MAX_ANSWER_BYTES)), Err(ProtocolError::InvalidLength));
     // A query without its end, or with a zero byte within.
-    assert_eq!(pg::frontend(&[&header(b'Q', 5)[..], b"x"].concat()), Err(Broken::Content));
-    assert_eq!(pg::frontend(&[&header(b'Q', 7)[..], b"a\0\0"].concat()), Err(Broken::Content));
+    assert_eq!(
+        pg::parse_frontend(&[&header(b'Q', 5)[..], b"x"].concat()),
+        Err(ProtocolError::MalformedContent)
+    );
+    assert_eq!(
+        pg::parse_frontend(&[&header(b'Q', 7)[..], b"a\0\0"].concat()),
+        Err(ProtocolError::MalformedContent)
+    );
 }
 
 #[test]
@@ -99,24 +112,24 @@
             bytes[1..5].copy_from_slice(&(numbers.below(90) as u32).to_be_bytes());
         }
         for taken in [
-            pg::frontend(&bytes).map(|m| m.map(|(_, n)| n)),
-            pg::backend(&bytes).map(|m| m.map(|(_, n)| n)),
-            pg::opening(&bytes).map(|m| m.map(|(_, n)| n)),
+            pg::parse_frontend(&bytes).map(|m| m.map(|(_, n)| n)),
+            pg::parse_backend(&bytes).map(|m| m.map(|(_, n)| n)),
+            pg::parse_first_message(&bytes).map(|m| m.map(|(_, n)| n)),
         ] {
             if let Ok(Some(taken)) = taken {
                 assert!(taken > 0 && taken <= bytes.len());
             }
         }
-        let _ = pg::request(&bytes);
-        let _ = pg::single_value(&bytes);
+        let _ = pg::parse_request(&bytes);
+        let _ = pg::find_single_value(&bytes);
         let length = |message| match message {
             PeerMessage::MemberStates(states) => 7 + 8 * states.len(),
             PeerMessage::Loans(loans) => 7 + 12 * loans.len(),
             PeerMessage::Digest(_) => 7 + 4 * 32,
         };
         assert!(PeerMessage::decode(&bytes).is_none_or(|message| length(message) == bytes.len()));
-        if let Ok(Some((mut response, at))) = http::head(&bytes) {
-            let _ = response.body(&bytes[at..], &mut Vec::new());
+        if let Ok(Some((mut response, at))) = http::parse_head(&bytes) {
+            let _ = response.read_body(&bytes[at..], &mut Vec::new());
         }
     }
 }
@@ -127,27 +140,37 @@
         let length = (content.len() as u32 + 4).to_be_bytes();
         [&b"D"[..], &length, content].concat()
     };
-    let parsed =
-        |bytes: &[u8]| pg::backend(bytes).map(|m| m.map(|(m, _)| m == Backend::DataRow(Some(b"ab"))));
+    let parsed = |bytes: &[u8]| {
+        pg::parse_backend(bytes).map(|m| m.map(|(m, _)| m == BackendMessage::DataRow(Some(b"ab"))))
+    };
     assert_eq!(parsed(&row(b"\0\x01\0\0\0\x02ab")), Ok(Some(true)));
-    assert_eq!(pg::backend(&row(b"\0\x01\xff\xff\xff\xff")), Ok(Some((Backend::DataRow(None), 11))));
-    assert_eq!(pg::backend(&row(b"\0\x02\0\0\0\0\0\0\0\0")), Ok(Some((Backend::DataRow(None), 15))));
-    assert_eq!(parsed(&row(b"\0\x01\0\0\0\x03ab")), Err(Broken::Content));
-    assert_eq!(parsed(&row(b"\0\x01\0\0\0\x01ab")), Err(Broken::Content));
+    assert_eq!(
+        pg::parse_backend(&row(b"\0\x01\xff\xff\xff\xff")),
+        Ok(Some((BackendMessage::DataRow(None), 11)))
+    );
+    assert_eq!(
+        pg::parse_backend(&row(b"\0\x02\0\0\0\0\0\0\0\0")),
+        Ok(Some((BackendMessage::DataRow(None), 15)))
+    );
+    assert_eq!(parsed(&row(b"\0\x01\0\0\0\x03ab")), Err(ProtocolError::MalformedContent));
+    assert_eq!(parsed(&row(b"\0\x01\0\0\0\x01ab")), Err(ProtocolError::MalformedContent));
 }
 
 #[test]
 fn a_request_comment_holds_what_the_client_wants() {
-    let request = pg::request(REQUEST).unwrap();
+    let request = pg::parse_request(REQUEST).unwrap();
     assert_eq!((request.class, request.wait_ms, request.group), ("basket", 480, 2));
-    assert_eq!((request.repeat, request.keyed, request.after), (false, true, Some(1_767_225_600_123)));
-    assert_eq!(&REQUEST[request.wait_at.clone()], b"480");
+    assert_eq!(
+        (request.is_repeat, request.has_idempotency_key, request.min_position_ms),
+        (false, true, Some(1_767_225_600_123))
+    );
+    assert_eq!(&REQUEST[request.wait_range.clone()], b"480");
     assert_eq!(request.key, b"7f3a9c21e0b4d655");
 
     let spaced = b" /* r=1, id=1 , c= a, d= 7 ,cluster=0,new=x */ insert into t values ('k', 'a;b') ;";
-    let request = pg::request(spaced).unwrap();
-    assert_eq!((request.class, request.wait_ms, request.repeat), ("a", 7, true));
-    assert_eq!((&spaced[request.wait_at.clone()], request.key), (&b"7"[..], &b"k"[..]));
+    let request = pg::parse_request(spaced).unwrap();
+    assert_eq!((request.class, request.wait_ms, request.is_repeat), ("a", 7, true));
+    assert_eq!((&spaced[request.wait_range.clone()], request.key), (&b"7"[..], &b"k"[..]));
 }
 
 #[test]
@@ -176,18 +199,18 @@
         "/* id=1,c=a,d=1,cluster=0,k= */ SELECT 'k'",
         "/* id=1,c=a,d=1,cluster=0,lonely */ SELECT 'k'",
     ] {
-        assert!(pg::request(text.as_bytes()).is_err(), "{text}");
+        assert!(pg::parse_request(text.as_bytes()).is_err(), "{text}");
     }
 }
 
 #[test]
 fn report_values_are_rounded_down_to_microseconds() {
-    assert_eq!(pg::micro_units("1767225600.123"), Some(1_767_225_600_123_000));
-    assert_eq!(pg::micro_units("0.61"), Some(610_000));
-    assert_eq!(pg::micro_units("7"), Some(7_000_000));
-    assert_eq!(pg::micro_units("1.9999999"), Some(1_999_999));
+    assert_eq!(pg::parse_millionths("1767225600.123"), Some(1_767_225_600_123_000));
+    assert_eq!(pg::parse_millionths("0.61"), Some(610_000));
+    assert_eq!(pg::parse_millionths("7"), Some(7_000_000));
+    assert_eq!(pg::parse_millionths("1.9999999"), Some(1_999_999));
     for junk in ["", ".", "-1", "1e9", "nan", "1.-5", "99999999999999999999", "1.0x"] {
-        assert_eq!(pg::micro_units(junk), None, "{junk}");
+        assert_eq!(pg::parse_millionths(junk), None, "{junk}");
     }
 }
 
@@ -201,17 +224,17 @@
         for part in [&CHUNKED[..split], &CHUNKED[split..]] {
             bytes.extend_from_slice(part);
             if response.is_none() {
-                if let Some((head, taken)) = http::head(&bytes).unwrap() {
+                if let Some((head, taken)) = http::parse_head(&bytes).unwrap() {
                     response = Some(head);
                     bytes.drain(..taken);
                 }
             }
             if let Some(response) = &mut response {
-                let taken = response.body(&bytes, &mut data).unwrap();
+                let taken = response.read_body(&bytes, &mut data).unwrap();
                 bytes.drain(..taken);
             }
         }
-        assert!(response.is_some_and(|r| r.is_done()), "{split}");
+        assert!(response.is_some_and(|r| r.is_complete()), "{split}");
         assert_eq!(data, b"ab\nc\n0123456789", "{split}");
     }
 }
@@ -219,25 +242,29 @@
 #[test]
 fn a_plain_body_has_its_length() {
     let text = b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabcd";
-    let (mut response, at) = http::head(text).unwrap().unwrap();
+    let (mut response, at) = http::parse_head(text).unwrap().unwrap();
     let mut data = Vec::new();
-    assert_eq!(response.body(&text[at..], &mut data), Ok(3));
-    assert!(response.is_done());
+    assert_eq!(response.read_body(&text[at..], &mut data), Ok(3));
+    assert!(response.is_complete());
     assert_eq!((response.status, &data[..]), (200, &b"abc"[..]));
 }
 
 #[test]
 fn heads_and_chunks_that_cannot_be_read_are_told() {
     for text in ["FTP/1.1 200 OK\r\n\r\n", "HTTP/1.1 OK\r\n\r\n", "HTTP/1.1 200 OK\r\nnothing\r\n\r\n"] {
-        assert_eq!(http::head(text.as_bytes()), Err(http::Broken::Head), "{text}");
+        assert_eq!(http::parse_head(text.as_bytes()), Err(http::ResponseError::MalformedHead), "{text}");
     }
-    assert_eq!(http::head(&[b'a'; 9000]), Err(http::Broken::Head));
+    assert_eq!(http::parse_head(&[b'a'; 9000]), Err(http::ResponseError::MalformedHead));
     for body in ["x\r\n", "-1\r\n", "\r\n", "2\r\nabcd\r\n", "ffffffffffffffffff\r\n"] {
-        let (mut response, _) = http::head(CHUNKED).unwrap().unwrap();
-        assert_eq!(response.body(body.as_bytes(), &mut Vec::new()), Err(http::Broken::Chunk), "{body}");
+        let (mut response, _) = http::parse_head(CHUNKED).unwrap().unwrap();
+        assert_eq!(
+            response.read_body(body.as_bytes(), &mut Vec::new()),
+            Err(http::ResponseError::MalformedChunk),
+            "{body}"
+        );
     }
-    let (mut response, _) = http::head(CHUNKED).unwrap().unwrap();
-    assert_eq!(response.body(&[b'1'; 400], &mut Vec::new()), Err(http::Broken::Chunk));
+    let (mut response, _) = http::parse_head(CHUNKED).unwrap().unwrap();
+    assert_eq!(response.read_body(&[b'1'; 400], &mut Vec::new()), Err(http::ResponseError::MalformedChunk));
 }
 
 #[test]
@@ -309,14 +336,14 @@
 
 #[test]
 fn a_report_that_cannot_be_read_tells_nothing() {
-    use beaconshore_driver::member::report;
-    let good = report("x0=1767225600.123,x1=1,utilization=0.61,inflight=7").unwrap();
+    use beaconshore_driver::member::parse_load_report;
+    let good = parse_load_report("x0=1767225600.123,x1=1,utilization=0.61,inflight=7").unwrap();
     assert_eq!(good.position, Some(1_767_225_600_123_000));
     assert_eq!((good.role, good.utilization), (Some(Role::Primary), Some(0.61)));
     for junk in
         ["", "nan", "=,=", "%%%", "x0=17e9,x1=1", "x0=1767225600.1,x1", "x0=1767225600.123,utilization=0.6.1"]
     {
-        assert!(report(junk).is_none(), "{junk}");
+        assert!(parse_load_report(junk).is_none(), "{junk}");
     }
 }
 
@@ -327,9 +354,15 @@
         [&[kind][..], &length, content].concat()
     };
     let column = [&b"\0\x01payload\0"[..], &[0; 18]].concat();
-    assert_eq!(pg::backend(&message(b'T', &column)).unwrap().unwrap().0, Backend::RowDescription(1));
+    assert_eq!(
+        pg::parse_backend(&message(b'T', &column)).unwrap().unwrap().0,
+        BackendMessage::RowDescription(1)
+    );
     let row = [&b"\0\x01"[..], &3_u32.to_be_bytes(), b"abc"].concat();
-    assert_eq!(pg::backend(&message(b'D', &row)).unwrap().unwrap().0, Backend::DataRow(Some(b"abc")));
+    assert_eq!(
+        pg::parse_backend(&message(b'D', &row)).unwrap().unwrap().0,
+        BackendMessage::DataRow(Some(b"abc"))
+    );
     for (kind, content) in [
         (b'T', &column[..column.len() - 1]),
         (b'T', &[&column[..], b"x"].concat()),
@@ -346,8 +379,8 @@
         (b'E', b"C53300\0"),
     ] {
         assert_eq!(
-            pg::backend(&message(kind, content)),
-            Err(Broken::Content),
+            pg::parse_backend(&message(kind, content)),
+            Err(ProtocolError::MalformedContent),
             "{} {content:?}",
             kind as char
         );
@@ -355,7 +388,7 @@
     // Lengths that won't go together are found before the value has come.
     let mut early = message(b'D', &row);
     early[5 + 2..5 + 6].copy_from_slice(&3_000_000_000_u32.to_be_bytes());
-    assert_eq!(pg::backend(&early[..11]), Err(Broken::Content));
+    assert_eq!(pg::parse_backend(&early[..11]), Err(ProtocolError::MalformedContent));
 }
 
 #[test]
@@ -392,13 +425,16 @@
 #[test]
 fn a_connections_user_and_database_and_a_statement_are_read() {
     let startup = |pairs: &[u8]| [&[0, 0, 0, 0, 0, 3, 0, 0], pairs].concat();
-    assert_eq!(pg::login(&startup(b"user\0web\0database\0orders\0\0")), ("web", "orders"));
-    assert_eq!(pg::login(&startup(b"application_name\0user\0user\0batch\0\0")), ("batch", "batch"));
-    assert_eq!(pg::login(&startup(b"user\0\xff\xfe\0\0")), ("", ""));
-    assert_eq!(pg::login(&startup(&[b"user\0", &[b'x'; 200][..], b"\0\0"].concat())), ("", ""));
-    assert_eq!(pg::login(&[0; 3]), ("", ""));
-    assert_eq!(pg::statement(b"/* id=1,c=view */ SELECT 1"), "SELECT 1");
-    assert_eq!(pg::statement(b"/* never ends"), "/* never ends");
+    assert_eq!(pg::startup_parameters(&startup(b"user\0web\0database\0orders\0\0")), ("web", "orders"));
+    assert_eq!(
+        pg::startup_parameters(&startup(b"application_name\0user\0user\0batch\0\0")),
+        ("batch", "batch")
+    );
+    assert_eq!(pg::startup_parameters(&startup(b"user\0\xff\xfe\0\0")), ("", ""));
+    assert_eq!(pg::startup_parameters(&startup(&[b"user\0", &[b'x'; 200][..], b"\0\0"].concat())), ("", ""));
+    assert_eq!(pg::startup_parameters(&[0; 3]), ("", ""));
+    assert_eq!(pg::strip_request_comment(b"/* id=1,c=view */ SELECT 1"), "SELECT 1");
+    assert_eq!(pg::strip_request_comment(b"/* never ends"), "/* never ends");
 }
 
 #[test]
