--- a/crates/scale/src/hollow.rs
+++ b/crates/scale/src/hollow.rs
@@ -10,10 +10,12 @@
 use async_executor::{LocalExecutor, Task};
 use async_io::Timer;
 use beaconshore::interface::{MemberId, Micros, Outcome, ReplyStatus, Report, RequestId};
-use beaconshore_driver::client::{Answer as ClientAnswer, CancelFlag, ClientMail, Served};
+use beaconshore_driver::client::{Answer as ClientAnswer, CancelFlag, ClientMessage, MemberAnswer};
 use beaconshore_driver::control::MemberTransport;
-use beaconshore_driver::member::{AttemptEnd, MemberMail, Told};
-use beaconshore_driver::module::{Arrival, Login, Mail, ModuleHandle, Statement};
+use beaconshore_driver::decision::{
+    ClientIdentity, ClientRequest, DecisionHandle, DecisionMessage, Statement,
+};
+use beaconshore_driver::member::{AttemptEnd, MemberMessage, SelfReport};
 use beaconshore_driver::stats::Counter;
 use beaconshore_driver::{Config, Control, Node};
 use beaconshore_emulator::client::Answer;
@@ -68,7 +70,7 @@
 pub struct Hollow {
     control: Control,
     outstanding: Outstanding,
-    answers: Sender<ClientMail>,
+    answers: Sender<ClientMessage>,
     pauses: Sender<Duration>,
     last: Costs,
     /// Ends the driver when it is dropped.
@@ -109,21 +111,21 @@
         self.outstanding.offset.set(offset);
         let node = self.control.node();
         node.stats().count(Counter::Requests);
-        let arrival = Arrival {
+        let arrival = ClientRequest {
             id: ask.id,
-            name: Rc::from(&ask.id.0.to_be_bytes()[..]),
-            class: ask.class,
+            client_id: Rc::from(&ask.id.0.to_be_bytes()[..]),
+            class_index: ask.class,
             group: ask.group as u32,
             session: None,
-            ends: node.now() + ask.budget,
-            repeat: ask.repeat,
-            after: ask.after.map(|at| (at + offset).div_ceil(1000)),
-            statement: Rc::new(Statement { text: Box::default(), wait_at: 0..0 }),
+            deadline: node.now() + ask.budget,
+            is_repeat: ask.repeat,
+            min_position_ms: ask.after.map(|at| (at + offset).div_ceil(1000)),
+            statement: Rc::new(Statement { text: Box::default(), wait_range: 0..0 }),
             cancel_flag: CancelFlag::default(),
             client: self.answers.clone(),
-            login: Rc::new(Login::default()),
+            identity: Rc::new(ClientIdentity::default()),
         };
-        self.control.module().send(Mail::Request(Box::new(arrival)));
+        self.control.module().send(DecisionMessage::Request(Box::new(arrival)));
     }
 
     /// A member replies.
@@ -167,9 +169,9 @@
     }
 }
 
-async fn tell_answers(answers: Receiver<ClientMail>, events: Events) {
+async fn tell_answers(answers: Receiver<ClientMessage>, events: Events) {
     while let Ok(mail) = answers.recv().await {
-        let ClientMail::Answer(request, answer) = mail else { continue };
+        let ClientMessage::Answer(request, answer) = mail else { continue };
         let answer = match answer {
             ClientAnswer::Served(_) => Answer::Served(None),
             ClientAnswer::Refused(after) => Answer::Refused(after),
@@ -183,10 +185,10 @@
     fn start(
         &self,
         node: &Rc<Node>,
-        module: &ModuleHandle,
+        module: &DecisionHandle,
         id: MemberId,
         address: SocketAddr,
-    ) -> Sender<MemberMail> {
+    ) -> Sender<MemberMessage> {
         let (sender, mailbox) = async_channel::unbounded();
         // The rig names members by the port of an address to which nobody connects.
         let number = usize::from(address.port()).saturating_sub(1);
@@ -208,31 +210,31 @@
     id: MemberId,
     number: usize,
     node: Rc<Node>,
-    module: ModuleHandle,
+    module: DecisionHandle,
     outstanding: Outstanding,
 }
 
 impl HollowMember {
-    async fn run(self, mailbox: Receiver<MemberMail>) {
+    async fn run(self, mailbox: Receiver<MemberMessage>) {
         while let Ok(mail) = mailbox.recv().await {
             match mail {
-                MemberMail::Attempt(attempt) => {
+                MemberMessage::Attempt(attempt) => {
                     self.node.stats().count(Counter::Attempts);
-                    let (request, sent) = (attempt.request, attempt.sent);
+                    let (request, sent) = (attempt.request, attempt.decided_at);
                     let waiting = Waiting::Attempt { request, member: self.id, sent };
                     let token = self.outstanding.add(waiting);
                     self.outstanding.events.send(Event::Attempt { request, token, member: self.number });
-                    let left = Duration::from_micros(attempt.ends.saturating_sub(self.node.now()));
+                    let left = Duration::from_micros(attempt.deadline.saturating_sub(self.node.now()));
                     self.give_up_after(token, left);
                 }
-                MemberMail::Probe => {
+                MemberMessage::Probe => {
                     self.node.stats().count(Counter::Probes);
                     let token = self.outstanding.add(Waiting::Probe { member: self.id });
                     self.outstanding.events.send(Event::Probe { token, member: self.number });
                     self.give_up_after(token, PROBE_TIME);
                 }
-                MemberMail::Cancel(request) => self.cancel(request),
-                MemberMail::End => return,
+                MemberMessage::Cancel(request) => self.cancel(request),
+                MemberMessage::Stop => return,
                 // It holds no connections.
                 _ => {}
             }
@@ -263,7 +265,7 @@
             Waiting::Probe { .. } => None,
         };
         self.outstanding.events.send(Event::GaveUp { request, token });
-        end(&self.node, &self.module, waiting, outcome, Told::default());
+        end(&self.node, &self.module, waiting, outcome, SelfReport::default());
     }
 }
 
@@ -275,19 +277,19 @@
         token
     }
 
-    fn end(&self, node: &Rc<Node>, module: &ModuleHandle, waiting: Waiting, reply: Reply) {
+    fn end(&self, node: &Rc<Node>, module: &DecisionHandle, waiting: Waiting, reply: Reply) {
         let (outcome, told) = match reply {
             Reply::Said(said) => {
                 let note = ReplyStatus { position: self.unix(said.note.position), ..said.note };
                 let report = Report { position: self.unix(said.report.position), ..said.report };
-                (said.outcome, Told { note, report })
+                (said.outcome, SelfReport { note, report })
             }
             Reply::Probed(report) => {
                 let report = Report { position: self.unix(report.position), ..report };
-                (Outcome::Served, Told { report, ..Told::default() })
+                (Outcome::Served, SelfReport { report, ..SelfReport::default() })
             }
-            Reply::Unreachable => (Outcome::Unreachable, Told::default()),
-            Reply::Reset => (Outcome::Reset, Told::default()),
+            Reply::Unreachable => (Outcome::Unreachable, SelfReport::default()),
+            Reply::Reset => (Outcome::Reset, SelfReport::default()),
         };
         end(node, module, waiting, outcome, told);
     }
@@ -299,18 +301,19 @@
 }
 
 /// Tells the module that an attempt or a probe has ended.
-fn end(node: &Rc<Node>, module: &ModuleHandle, waiting: Waiting, outcome: Outcome, told: Told) {
+fn end(node: &Rc<Node>, module: &DecisionHandle, waiting: Waiting, outcome: Outcome, told: SelfReport) {
     match waiting {
         Waiting::Attempt { request, member, sent } => {
             let took = node.now().saturating_sub(sent);
-            let served = Served::default();
-            let end = AttemptEnd { request, member, outcome, served, told, took };
-            module.send(Mail::AttemptEnded(Box::new(end)));
+            let served = MemberAnswer::default();
+            let end =
+                AttemptEnd { request, member, outcome, answer: served, self_report: told, duration: took };
+            module.send(DecisionMessage::AttemptEnded(Box::new(end)));
         }
         Waiting::Probe { member } => {
             // A probe that nobody answers found no connection.
             let outcome = if outcome == Outcome::TimedOut { Outcome::Unreachable } else { outcome };
-            module.send(Mail::ProbeEnded(member, outcome, told.report));
+            module.send(DecisionMessage::ProbeEnded(member, outcome, told.report));
         }
     }
 }
