--- a/crates/benchlink/src/host.rs
+++ b/crates/benchlink/src/host.rs
@@ -8,7 +8,7 @@
     ReplyStatus, Report, Request, RequestId, Role, SessionId, ZoneId,
 };
 use beaconshore::Router;
-use beaconshore_settings::{Dialect, ReportField, Site};
+use beaconshore_settings::{ProtocolSettings, ReportField, RouterSettings};
 
 use crate::frame::{Header, Reader, Reply};
 
@@ -50,7 +50,7 @@
 /// One simulated driver: its decision module, and the settings to translate events and actions.
 struct Instance {
     router: Router,
-    dialect: Dialect,
+    protocol: ProtocolSettings,
 }
 
 /// All instances of this process, and the member tables that they share, as the protocol defines.
@@ -84,21 +84,21 @@
         &mut self,
         now: u64,
         code: u8,
-        reader: &mut Reader,
+        input: &mut Reader,
         reply: &mut Reply,
     ) -> Result<(), String> {
         if code == code::CATALOG {
-            let (table, entries) = decode_table(reader)?;
+            let (table, entries) = decode_table(input)?;
             self.tables.insert(table, entries);
             return Ok(());
         }
-        let driver = reader.u32()?;
+        let driver = input.u32()?;
         match code {
             code::SPAWN => {
-                let seed = reader.u64()?;
-                let length = reader.u32()? as usize;
-                let Site { settings, dialect } = Site::parse(reader.take(length)?)?;
-                self.instances.insert(driver, Instance { router: Router::new(settings, seed, now), dialect });
+                let seed = input.u64()?;
+                let length = input.u32()? as usize;
+                let RouterSettings { module, protocol } = RouterSettings::parse(input.take(length)?)?;
+                self.instances.insert(driver, Instance { router: Router::new(module, seed, now), protocol });
                 return Ok(());
             }
             code::HALT => {
@@ -109,7 +109,7 @@
         }
         let instance =
             self.instances.get_mut(&driver).ok_or_else(|| format!("instance {driver} is not running"))?;
-        let Some(event) = decode_event(code, reader, &self.tables, &instance.dialect)? else { return Ok(()) };
+        let Some(event) = decode_event(code, input, &self.tables, &instance.protocol)? else { return Ok(()) };
         let result = catch_unwind(AssertUnwindSafe(|| {
             let mut actions = Vec::new();
             instance.router.handle(now, &event, &mut actions);
@@ -117,7 +117,7 @@
         }));
         match result {
             Ok(actions) => {
-                actions.iter().for_each(|action| encode_action(driver, action, &instance.dialect, reply))
+                actions.iter().for_each(|action| encode_action(driver, action, &instance.protocol, reply))
             }
             Err(panic) => {
                 let text = panic_text(panic.as_ref());
@@ -172,7 +172,7 @@
     code: u8,
     reader: &mut Reader,
     tables: &'t BTreeMap<u8, Vec<ListEntry>>,
-    dialect: &Dialect,
+    protocol: &ProtocolSettings,
 ) -> Result<Option<Event<'t>>, String> {
     Ok(Some(match code {
         code::MEMBERSHIP => {
@@ -199,10 +199,10 @@
             let _attempt = reader.u16()?;
             let outcome = decode_outcome(reader.u16()?)?;
             let member = MemberId(reader.u32()?);
-            let note = decode_note(reader.u32()?, dialect);
+            let note = decode_note(reader.u32()?, protocol);
             let took = u64::from(reader.u32()?);
             let finished = reader.u8()? != 0;
-            let report = decode_report(reader, dialect)?;
+            let report = decode_report(reader, protocol)?;
             Event::AttemptEnded(AttemptResult { request, member, outcome, note, took, finished, report })
         }
         code::HANGUP => Event::ClientDisconnected(RequestId(reader.u64()?)),
@@ -214,12 +214,12 @@
             let member = MemberId(reader.u32()?);
             let outcome = decode_outcome(reader.u16()?)?;
             let _took = reader.u32()?;
-            Event::ProbeEnded { member, outcome, report: decode_report(reader, dialect)? }
+            Event::ProbeEnded { member, outcome, report: decode_report(reader, protocol)? }
         }
         code::DATAGRAM => {
             let _from = reader.u32()?;
             let length = reader.u16()? as usize;
-            Event::PeerUpdates(decode_updates(reader.take(length)?, dialect))
+            Event::PeerUpdates(decode_updates(reader.take(length)?, protocol))
         }
         _ => return Err("no such event: the code is unknown".to_string()),
     }))
@@ -261,11 +261,11 @@
 
 /// Decodes a message between routers: for each member its id and a note in the encoding of answers. Incomplete bytes at the
 /// end are ignored.
-fn decode_updates(bytes: &[u8], dialect: &Dialect) -> Vec<MemberUpdate> {
+fn decode_updates(bytes: &[u8], protocol: &ProtocolSettings) -> Vec<MemberUpdate> {
     let mut reader = Reader::new(bytes);
     let mut updates = Vec::new();
     while let (Ok(member), Ok(raw)) = (reader.u32(), reader.u32()) {
-        let note = decode_note(raw, dialect);
+        let note = decode_note(raw, protocol);
         updates.extend(note.position.map(|position| MemberUpdate {
             member: MemberId(member),
             position,
@@ -276,8 +276,8 @@
 }
 
 /// Encodes a member update as a note, with the position rounded down to milliseconds.
-fn encode_note(update: &MemberUpdate, dialect: &Dialect) -> u32 {
-    let ms = update.position.saturating_sub(dialect.zero) / 1000;
+fn encode_note(update: &MemberUpdate, protocol: &ProtocolSettings) -> u32 {
+    let ms = update.position.saturating_sub(protocol.zero_time) / 1000;
     let role = match update.role {
         Some(Role::Primary) => 1,
         Some(Role::Replica) => 2,
@@ -287,18 +287,18 @@
 }
 
 /// Decodes a note: the position in milliseconds after the zero time, times 4, plus the code of the role.
-fn decode_note(raw: u32, dialect: &Dialect) -> ReplyStatus {
+fn decode_note(raw: u32, protocol: &ProtocolSettings) -> ReplyStatus {
     let role = match raw & 3 {
         1 => Some(Role::Primary),
         2 => Some(Role::Replica),
         _ => None,
     };
     let ms = u64::from(raw >> 2);
-    ReplyStatus { position: (ms > 0).then(|| dialect.zero.saturating_add(ms * 1000)), role }
+    ReplyStatus { position: (ms > 0).then(|| protocol.zero_time.saturating_add(ms * 1000)), role }
 }
 
 /// Decodes a load report. Values that are not finite or negative are ignored.
-fn decode_report(reader: &mut Reader, dialect: &Dialect) -> Result<Report, String> {
+fn decode_report(reader: &mut Reader, protocol: &ProtocolSettings) -> Result<Report, String> {
     let count = reader.u8()?;
     let mut report = Report::default();
     for index in 0..usize::from(count) {
@@ -307,11 +307,11 @@
             continue;
         }
         let value_f64 = f64::from(value);
-        match dialect.report.get(index).copied().unwrap_or(ReportField::Other) {
+        match protocol.report_fields.get(index).copied().unwrap_or(ReportField::Other) {
             // The float may have been rounded up; the member has certainly reached the next lower value.
             ReportField::Position if value > 0.0 => {
                 let after_zero_us = (f64::from(value.next_down()) * 1e6) as u64;
-                report.position = Some(dialect.zero.saturating_add(after_zero_us));
+                report.position = Some(protocol.zero_time.saturating_add(after_zero_us));
             }
             ReportField::Role => report.role = Some(if value == 1.0 { Role::Primary } else { Role::Replica }),
             ReportField::Utilization => report.utilization = Some(value_f64),
@@ -323,7 +323,7 @@
 }
 
 /// Encodes an action as records of the reply.
-fn encode_action(driver: u32, action: &Action, dialect: &Dialect, reply: &mut Reply) {
+fn encode_action(driver: u32, action: &Action, protocol: &ProtocolSettings, reply: &mut Reply) {
     let driver_bytes = driver.to_le_bytes();
     let micros = |us: u64| u32::try_from(us).unwrap_or(u32::MAX).to_le_bytes();
     match action {
@@ -342,7 +342,7 @@
             let data: Vec<u8> = chunk
                 .iter()
                 .flat_map(|update| {
-                    [update.member.0.to_le_bytes(), encode_note(update, dialect).to_le_bytes()].concat()
+                    [update.member.0.to_le_bytes(), encode_note(update, protocol).to_le_bytes()].concat()
                 })
                 .collect();
             let length = (data.len() as u16).to_le_bytes();
--- a/crates/benchlink/src/host/tests.rs
+++ b/crates/benchlink/src/host/tests.rs
@@ -72,8 +72,8 @@
     found
 }
 
-fn dialect() -> Dialect {
-    Site::parse(settings().as_bytes()).unwrap().dialect
+fn protocol() -> ProtocolSettings {
+    RouterSettings::parse(settings().as_bytes()).unwrap().protocol
 }
 
 /// The fields of a record, without its code, length and instance.
@@ -85,7 +85,7 @@
 fn every_field_of_a_request_is_decoded() {
     let raw = fields(ASK);
     let tables = BTreeMap::new();
-    let event = decode_event(code::ASK, &mut Reader::new(&raw), &tables, &dialect()).unwrap();
+    let event = decode_event(code::ASK, &mut Reader::new(&raw), &tables, &protocol()).unwrap();
     let Some(Event::Request(request)) = event else { panic!("the event is not a request") };
     assert_eq!(request.id, RequestId(0x0006_6920_5d3a_91c4));
     assert_eq!((request.class, request.group, request.budget), (0, GroupId(11), 240_000));
@@ -98,7 +98,7 @@
 fn every_field_of_an_attempts_end_is_decoded() {
     let raw = fields(ATTEMPT_END);
     let tables = BTreeMap::new();
-    let event = decode_event(code::ATTEMPT_END, &mut Reader::new(&raw), &tables, &dialect()).unwrap();
+    let event = decode_event(code::ATTEMPT_END, &mut Reader::new(&raw), &tables, &protocol()).unwrap();
     let Some(Event::AttemptEnded(ended)) = event else { panic!("the event is not the end of an attempt") };
     assert_eq!((ended.outcome, ended.finished, ended.took), (Outcome::Served, true, 18_500));
     assert_eq!(ended.member, MemberId(0x0312_4a07));
@@ -119,7 +119,7 @@
     for value in [f32::NAN, f32::NEG_INFINITY, -1.0] {
         raw.extend(value.to_le_bytes());
     }
-    let report = decode_report(&mut Reader::new(&raw), &dialect()).unwrap();
+    let report = decode_report(&mut Reader::new(&raw), &protocol()).unwrap();
     assert_eq!((report.position, report.role, report.utilization), (None, None, None));
 }
 
@@ -223,27 +223,27 @@
 
 #[test]
 fn member_updates_survive_encoding_and_decoding() {
-    let dialect = dialect();
+    let protocol = protocol();
     let update = |member, ms: u64, role| MemberUpdate {
         member: MemberId(member),
-        position: dialect.zero + ms * 1000,
+        position: protocol.zero_time + ms * 1000,
         role,
     };
     let sent =
         [update(7, 42_000, Some(Role::Primary)), update(9, 41_999, Some(Role::Replica)), update(8, 1, None)];
     let mut reply = Reply::new(1);
-    encode_action(DRIVER, &Action::SendPeerUpdates(sent.to_vec()), &dialect, &mut reply);
+    encode_action(DRIVER, &Action::SendPeerUpdates(sent.to_vec()), &protocol, &mut reply);
     let posts = records(&reply.finish());
     let (code, fields) = &posts[0];
     assert_eq!((*code, posts.len(), fields.len()), (code::POST, 1, 4 + 2 + 2 + 3 * 8));
-    assert_eq!(decode_updates(&fields[8..], &dialect), sent);
+    assert_eq!(decode_updates(&fields[8..], &protocol), sent);
     assert_eq!(
-        decode_updates(&fields[8..fields.len() - 1], &dialect),
+        decode_updates(&fields[8..fields.len() - 1], &protocol),
         sent[..2],
         "an incomplete update is ignored"
     );
     let many = vec![sent[0].clone(); 40];
     let mut reply = Reply::new(1);
-    encode_action(DRIVER, &Action::SendPeerUpdates(many), &dialect, &mut reply);
+    encode_action(DRIVER, &Action::SendPeerUpdates(many), &protocol, &mut reply);
     assert!(records(&reply.finish()).iter().all(|(_, fields)| fields.len() <= 8 + 256));
 }
--- a/crates/driver/src/budget.rs
+++ b/crates/driver/src/budget.rs
@@ -16,10 +16,10 @@
 const ANSWER_BYTES: usize = 2 * pg::MAX_ANSWER_BYTES;
 
 /// A permit to hold one large message, kept for as long as the message takes memory.
-pub type Share = SemaphoreGuardArc;
+pub type LargeMessagePermit = SemaphoreGuardArc;
 
 /// The permits for large messages.
-pub struct Budget {
+pub struct MemoryBudget {
     /// For requests of clients.
     pub requests: Arc<Semaphore>,
     /// For answers of members. They have their own permits because a request keeps its permit until it is answered: with
@@ -27,12 +27,12 @@
     pub answers: Arc<Semaphore>,
 }
 
-impl Budget {
+impl MemoryBudget {
     /// Divides a memory limit: `BASE_BYTES` and a quarter of the rest stay free, and the remainder is split evenly between
     /// requests and answers.
     pub fn divide(megabytes: usize) -> Self {
         let half = (megabytes << 20).saturating_sub(BASE_BYTES) * 3 / 4 / 2;
         let permits = |bytes_each: usize| Arc::new(Semaphore::new((half / bytes_each).max(2)));
-        Budget { requests: permits(REQUEST_BYTES), answers: permits(ANSWER_BYTES) }
+        MemoryBudget { requests: permits(REQUEST_BYTES), answers: permits(ANSWER_BYTES) }
     }
 }
--- a/crates/driver/src/buffer.rs
+++ b/crates/driver/src/buffer.rs
@@ -7,12 +7,12 @@
 
 use futures_lite::{AsyncRead, AsyncReadExt};
 
-use crate::budget::Share;
+use crate::budget::LargeMessagePermit;
 
 /// Bytes of space that a read has at least.
 const MIN_READ_BYTES: usize = 4 * 1024;
 /// Longest message, in bytes, that needs no permit for large messages.
-pub const USUAL: usize = 12 * 1024;
+pub const SMALL_MESSAGE_BYTES: usize = 12 * 1024;
 
 /// The bytes that were read and not yet consumed.
 #[derive(Default)]
@@ -21,7 +21,7 @@
     start: usize,
     end: usize,
     /// The permit for a large message, once it was granted.
-    large: Option<Share>,
+    large: Option<LargeMessagePermit>,
 }
 
 impl Buffer {
@@ -31,7 +31,7 @@
     }
 
     /// Removes bytes from the front. When none is left, frees the memory and returns the permit for a large message.
-    pub fn consume(&mut self, count: usize) -> Option<Share> {
+    pub fn consume(&mut self, count: usize) -> Option<LargeMessagePermit> {
         self.start += count.min(self.end - self.start);
         if self.start < self.end {
             return None;
@@ -40,12 +40,12 @@
     }
 
     /// Whether a message of this length, in bytes, needs a permit that the buffer does not have yet.
-    pub fn lacks_room(&self, length: usize) -> bool {
-        length > USUAL && self.large.is_none()
+    pub fn needs_permit(&self, length: usize) -> bool {
+        length > SMALL_MESSAGE_BYTES && self.large.is_none()
     }
 
     /// Allows the buffer to grow for a large message.
-    pub fn grant(&mut self, large: Share) {
+    pub fn grant(&mut self, large: LargeMessagePermit) {
         self.large = Some(large);
     }
 
--- a/crates/driver/src/cli/check.rs
+++ b/crates/driver/src/cli/check.rs
@@ -13,7 +13,7 @@
     let mut problems = Vec::new();
     for path in files {
         let (file, text) = (path.display().to_string(), read_text(path)?);
-        if let Err(found) = config.operator(&file, &text) {
+        if let Err(found) = config.parse_operator_file(&file, &text) {
             problems.extend(found);
         }
     }
--- a/crates/driver/src/cli/explain.rs
+++ b/crates/driver/src/cli/explain.rs
@@ -63,7 +63,7 @@
     let Some(path) = &arguments.file else { return Err("an operator's file is required".into()) };
     let config = load_configuration(arguments.config.as_deref())?;
     let plans = load_plans(&config, path)?;
-    let settings = &config.settings.settings;
+    let settings = &config.settings.module;
     let class = plans.classes.iter().position(|name| *name == arguments.class);
     let Some(class) = class else {
         return Err(format!(
--- a/crates/driver/src/cli/mod.rs
+++ b/crates/driver/src/cli/mod.rs
@@ -1,6 +1,6 @@
 //! The command line: serving, and commands that check, explain and compare operator's files before they are put in force.
 //!
-//! Handles arguments, output and exit codes. The files themselves are parsed and checked by [`Config::operator`].
+//! Handles arguments, output and exit codes. The files themselves are parsed and checked by [`Config::parse_operator_file`].
 
 mod check;
 mod diff;
@@ -112,7 +112,7 @@
 /// Loads the configuration that operator's files are checked against: the file at `path`, or the one that `RELAY_CONFIG`
 /// names.
 fn load_configuration(path: Option<&Path>) -> Result<Config, String> {
-    let Some(path) = path else { return Config::named() };
+    let Some(path) = path else { return Config::load() };
     let text = fs::read(path).map_err(|e| format!("configuration {}: {e}", path.display()))?;
     Config::parse(&text).map_err(|e| format!("configuration {}: {e}", path.display()))
 }
@@ -125,7 +125,7 @@
 /// Loads the policies of an operator's file. The error lists all its problems, one per line.
 fn load_plans(config: &Config, path: &Path) -> Result<Plans, String> {
     let file = path.display().to_string();
-    let loaded = config.operator(&file, &read_text(path)?);
+    let loaded = config.parse_operator_file(&file, &read_text(path)?);
     loaded.map(|loaded| loaded.plans).map_err(|problems| {
         let lines: Vec<String> = problems.iter().map(ToString::to_string).collect();
         lines.join("\n")
--- a/crates/driver/src/client/connection/incoming.rs
+++ b/crates/driver/src/client/connection/incoming.rs
@@ -9,7 +9,7 @@
 use super::{
     AbandonedRequest, CancelFlag, CloseCause, ConnectionState, End, Input, QueuedAnswer, Stage, Usage,
 };
-use crate::budget::Share;
+use crate::budget::LargeMessagePermit;
 use crate::pg::{self, sqlstate, BadRequest, FirstMessage, FrontendMessage, Severity};
 
 impl ConnectionState {
@@ -116,7 +116,7 @@
         id: RequestId,
         client_id: Rc<[u8]>,
         cancel_flag: CancelFlag,
-        large_permit: Option<Share>,
+        large_permit: Option<LargeMessagePermit>,
         now: Instant,
     ) {
         self.answers.push_back(QueuedAnswer::Pending {
--- a/crates/driver/src/client/connection/interface.rs
+++ b/crates/driver/src/client/connection/interface.rs
@@ -5,7 +5,7 @@
 
 use beaconshore::interface::RequestId;
 
-use crate::descriptors::Rank;
+use crate::descriptors::IdleRank;
 
 /// How long connections are kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -68,7 +68,7 @@
     /// When the connection has to be examined again, whatever else happens.
     pub deadline: Option<Instant>,
     /// From when the connection counts as idle and may be evicted, and its rank among those.
-    pub idle_since: Option<(Instant, Rank)>,
+    pub idle_since: Option<(Instant, IdleRank)>,
     /// Whether requests are open, so that a disconnection has to be noticed even while nothing is read.
     pub watches_disconnect: bool,
 }
--- a/crates/driver/src/client/connection/mod.rs
+++ b/crates/driver/src/client/connection/mod.rs
@@ -20,7 +20,7 @@
 use beaconshore::interface::RequestId;
 
 use super::message::{Answer, CancelFlag};
-use crate::budget::Share;
+use crate::budget::LargeMessagePermit;
 use crate::pg::{self, sqlstate, Severity};
 
 pub use interface::{AbandonedRequest, CloseCause, Eviction, Input, NextStep, Phase, ReadMode, Wait};
@@ -76,9 +76,14 @@
 /// An answer that is owed.
 enum QueuedAnswer {
     /// The answer of a request that is still open.
-    Pending { id: RequestId, client_id: Rc<[u8]>, cancel_flag: CancelFlag, _large_permit: Option<Share> },
+    Pending {
+        id: RequestId,
+        client_id: Rc<[u8]>,
+        cancel_flag: CancelFlag,
+        _large_permit: Option<LargeMessagePermit>,
+    },
     /// An answer that is ready to be written.
-    Ready { bytes: Vec<u8>, _large_permit: Option<Share> },
+    Ready { bytes: Vec<u8>, _large_permit: Option<LargeMessagePermit> },
 }
 
 /// An answer that is being written.
@@ -87,7 +92,7 @@
     written: usize,
     /// Whether the client asked for it, after the startup message.
     is_answer: bool,
-    _large_permit: Option<Share>,
+    _large_permit: Option<LargeMessagePermit>,
 }
 
 /// The state of a client's connection.
@@ -277,7 +282,13 @@
     }
 
     /// Begins to write these bytes.
-    fn start_output(&mut self, bytes: Vec<u8>, is_answer: bool, _large_permit: Option<Share>, now: Instant) {
+    fn start_output(
+        &mut self,
+        bytes: Vec<u8>,
+        is_answer: bool,
+        _large_permit: Option<LargeMessagePermit>,
+        now: Instant,
+    ) {
         (self.output, self.output_progress_at) =
             (Some(Output { bytes, written: 0, is_answer, _large_permit }), now);
     }
--- a/crates/driver/src/client/connection/schedule.rs
+++ b/crates/driver/src/client/connection/schedule.rs
@@ -10,7 +10,7 @@
     CloseCause, ConnectionState, End, NextStep, PendingClose, Phase, QueuedAnswer, ReadMode, Stage, Usage,
     Wait,
 };
-use crate::descriptors::Rank;
+use crate::descriptors::IdleRank;
 use crate::pg::sqlstate;
 
 impl ConnectionState {
@@ -59,9 +59,9 @@
             _ => None,
         };
         let idle_since = match &self.stage {
-            Stage::Lingering => Some((self.since, Rank::Useless)),
-            _ if is_idle && is_active => Some((self.since + EVICTION_GRACE, Rank::Useless)),
-            _ if is_idle => Some((self.since, Rank::Used)),
+            Stage::Lingering => Some((self.since, IdleRank::Unproductive)),
+            _ if is_idle && is_active => Some((self.since + EVICTION_GRACE, IdleRank::Unproductive)),
+            _ if is_idle => Some((self.since, IdleRank::BetweenRequests)),
             _ => None,
         };
         let watches_disconnect =
--- a/crates/driver/src/client/message.rs
+++ b/crates/driver/src/client/message.rs
@@ -7,7 +7,7 @@
 
 use beaconshore::interface::{Micros, RequestId};
 
-use crate::budget::Share;
+use crate::budget::LargeMessagePermit;
 
 /// A message to the actor of a client's connection.
 pub enum ClientMessage {
@@ -25,7 +25,7 @@
     /// The member's messages up to CommandComplete.
     pub messages: Vec<u8>,
     /// The answer's share of the memory for large messages, if it is large.
-    pub large_permit: Option<Share>,
+    pub large_permit: Option<LargeMessagePermit>,
 }
 
 /// A final answer.
--- a/crates/driver/src/client/mod.rs
+++ b/crates/driver/src/client/mod.rs
@@ -23,7 +23,7 @@
 
 use crate::buffer::Buffer;
 use crate::decision::{ClientIdentity, ClientRequest, DecisionHandle, DecisionMessage, Statement};
-use crate::descriptors::{Permit, Rank, Rest};
+use crate::descriptors::{IdleRank, IdleRegistration, Permit};
 use crate::pg::{self, sqlstate};
 use crate::stats::Counter;
 use crate::Node;
@@ -68,13 +68,13 @@
 
     /// Starts the actor of a connection.
     pub fn accept(self: &Rc<Self>, stream: Async<TcpStream>, permit: Permit) {
-        self.node.stats.count(Counter::Accepted);
+        self.node.stats.count(Counter::ConnectionsAccepted);
         // Data is sent at once. What the kernel held back would be lost if the connection is reset.
         let _ = stream.get_ref().set_nodelay(true);
         // The mailbox has no capacity of its own. It gets one answer for each open request, one request to
         // close for each time that the connection was idle, and one message for each cancel request.
         let (sender, mailbox) = async_channel::unbounded();
-        let key = self.key_hasher.hash_one(self.node.stats.of(Counter::Accepted));
+        let key = self.key_hasher.hash_one(self.node.stats.get(Counter::ConnectionsAccepted));
         self.connections.borrow_mut().insert(key, sender.clone());
         let mut actor = ConnectionActor {
             clients: self.clone(),
@@ -112,14 +112,14 @@
     pub fn start_shutdown(&self, time_left: Duration) {
         self.phase.set(Phase::ShuttingDown);
         self.latest_deadline.set(self.node.clock.now() + time_left.as_micros() as Micros);
-        self.node.descriptors.clients.close_idle();
+        self.node.descriptors.clients.close_all_idle();
     }
 
     /// Has every open request answered, and closes every connection.
     pub fn close_all(&self) {
         self.phase.set(Phase::Closing);
         self.decision.send(DecisionMessage::FailOpenRequests);
-        self.node.descriptors.clients.close_idle();
+        self.node.descriptors.clients.close_all_idle();
     }
 
     /// The number of open connections.
@@ -246,21 +246,21 @@
     fn read_request(&self, query: &[u8]) -> Result<ClientRequest, pg::BadRequest> {
         let node = &self.clients.node;
         let request = pg::parse_request(query)?;
-        let class_index = node.site.dialect.classes.iter().position(|name| name == request.class);
+        let class_index = node.settings.protocol.class_names.iter().position(|name| name == request.class);
         let class_index =
             class_index.ok_or((sqlstate::UNDEFINED_OBJECT, "the request's class is not known"))?;
-        let class_settings = &node.site.settings.classes[class_index];
+        let class_settings = &node.settings.module.classes[class_index];
         if matches!(class_settings.effect, Effect::Keyed(..)) && !request.has_idempotency_key {
             return Err((sqlstate::INVALID_PARAMETER_VALUE, "a request of this class needs a key"));
         }
         let in_session = matches!(class_settings.consistency, Consistency::Write | Consistency::Session);
         let client_id: Rc<[u8]> = request.id.as_bytes().into();
         let now = node.clock.now();
-        if !node.ids.take(&client_id, now) {
+        if !node.request_ids.reserve(&client_id, now) {
             return Err((sqlstate::DUPLICATE_OBJECT, "another request has this id"));
         }
-        let id = node.requests.get() + 1;
-        node.requests.set(id);
+        let id = node.last_request_id.get() + 1;
+        node.last_request_id.set(id);
         // A request that had to wait for earlier answers before it was read starts to wait now.
         let waits_since =
             if self.connection.owed_answers() + 1 < MAX_OPEN_REQUESTS { self.received_at } else { now };
@@ -289,7 +289,7 @@
         if discards {
             self.buffer = Buffer::default();
         }
-        let lacks_room = !discards && self.buffer.lacks_room(length);
+        let lacks_room = !discards && self.buffer.needs_permit(length);
         let reads = match wait.read_mode {
             ReadMode::Messages | ReadMode::Discard => true,
             // Enough to notice that the client has closed, if it does so before it sends anything.
@@ -322,7 +322,7 @@
                 }
             }
             if lacks_room {
-                self.buffer.grant(self.clients.node.budget.requests.acquire_arc().await);
+                self.buffer.grant(self.clients.node.memory_budget.requests.acquire_arc().await);
             }
             WakeReason::Input(self.buffer.fill(length, &mut &self.stream).await)
         };
@@ -357,8 +357,8 @@
             WakeReason::Message(ClientMessage::Answer(id, answer)) => {
                 let node = &self.clients.node;
                 match self.connection.queue_answer(id, answer) {
-                    Some(client_id) => node.ids.release(client_id, node.clock.now()),
-                    None => node.stats.check(
+                    Some(client_id) => node.request_ids.release(client_id, node.clock.now()),
+                    None => node.stats.check_invariant(
                         self.connection.has_cancelled_requests(),
                         "an answer belongs to a request of the connection that it reaches",
                     ),
@@ -367,7 +367,7 @@
             WakeReason::Message(ClientMessage::CloseIfIdle) => {
                 let begun = !self.buffer.filled().is_empty();
                 if self.connection.evict(self.clients.phase.get(), begun, now) == Eviction::InUse {
-                    self.clients.node.descriptors.clients.asked_in_vain();
+                    self.clients.node.descriptors.clients.on_close_declined();
                 }
             }
             WakeReason::Message(ClientMessage::CancelRequests) => {
@@ -384,7 +384,7 @@
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
         let node = &self.clients.node;
-        self.received_at = node.stalls.came(node.clock.now());
+        self.received_at = node.stall_detector.earliest_arrival(node.clock.now());
         let was_empty = self.buffer.filled().len() == count;
         if discards {
             self.buffer = Buffer::default();
@@ -400,7 +400,7 @@
         match future::poll_once(self.buffer.fill(wanted, &mut &self.stream)).await {
             Some(count) => {
                 self.input_received(count?, false)?;
-                self.clients.node.descriptors.clients.asked_in_vain();
+                self.clients.node.descriptors.clients.on_close_declined();
             }
             None => self.connection.on_no_input(),
         }
@@ -426,7 +426,7 @@
         let node = &self.clients.node;
         for AbandonedRequest { id, client_id } in abandoned {
             self.clients.decision.send(DecisionMessage::RequestAbandoned(id));
-            node.ids.release(client_id, node.clock.now());
+            node.request_ids.release(client_id, node.clock.now());
         }
     }
 
@@ -434,23 +434,23 @@
     fn count_end(&self) {
         let stats = &self.clients.node.stats;
         match self.connection.close_cause() {
-            Some(CloseCause::ProtocolViolation) => stats.count(Counter::BadStreams),
-            Some(CloseCause::NoCapacity) => stats.count(Counter::NoRoom),
-            Some(CloseCause::Shutdown) => stats.count(Counter::CutShort),
-            None if self.connection.is_unanswered() => stats.count(Counter::Unanswered),
+            Some(CloseCause::ProtocolViolation) => stats.count(Counter::ProtocolViolations),
+            Some(CloseCause::NoCapacity) => stats.count(Counter::ConnectionsRejected),
+            Some(CloseCause::Shutdown) => stats.count(Counter::ConnectionsCutByShutdown),
+            None if self.connection.is_unanswered() => stats.count(Counter::ConnectionsUnanswered),
             None => {}
         }
     }
 
     /// Registers the connection as idle, so that it may be asked to close when descriptors run short.
     /// Dropping the result withdraws that.
-    fn register_idle(&self, rank: Rank) -> Rest {
+    fn register_idle(&self, rank: IdleRank) -> IdleRegistration {
         let sender = self.sender.clone();
         self.clients
             .node
             .descriptors
             .clients
-            .rest(rank, move || drop(sender.try_send(ClientMessage::CloseIfIdle)))
+            .register_idle(rank, move || drop(sender.try_send(ClientMessage::CloseIfIdle)))
     }
 }
 
--- a/crates/driver/src/clock.rs
+++ b/crates/driver/src/clock.rs
@@ -36,7 +36,7 @@
 }
 
 /// Awaits a future until a deadline; `None` if the deadline comes first.
-pub async fn until<T>(deadline: Instant, future: impl Future<Output = T>) -> Option<T> {
+pub async fn with_deadline<T>(deadline: Instant, future: impl Future<Output = T>) -> Option<T> {
     let timeout = async {
         Timer::at(deadline).await;
         None
@@ -45,6 +45,6 @@
 }
 
 /// Awaits a future for at most this long; `None` if it takes longer.
-pub async fn within<T>(limit: Duration, future: impl Future<Output = T>) -> Option<T> {
-    until(Instant::now() + limit, future).await
+pub async fn with_timeout<T>(limit: Duration, future: impl Future<Output = T>) -> Option<T> {
+    with_deadline(Instant::now() + limit, future).await
 }
--- a/crates/driver/src/config.rs
+++ b/crates/driver/src/config.rs
@@ -7,12 +7,12 @@
 use beaconshore_gossip::Policy as GossipPolicy;
 use beaconshore_operator::parse;
 use beaconshore_operator::text::Problem;
-use beaconshore_settings::Site;
+use beaconshore_settings::RouterSettings;
 use beaconshore_steering::Plans;
 use beaconshore_zones::Policy;
 use serde::Deserialize;
 
-use crate::listing::Listing;
+use crate::membership::MembershipUpdate;
 
 /// Least number of descriptors with which a driver can serve requests.
 const MIN_SOCKETS: usize = 48;
@@ -41,9 +41,9 @@
     #[serde(default)]
     pub peers_all: Option<SocketAddr>,
     /// The membership list last known to this driver, used until discovery delivers one.
-    pub known: Listing,
+    pub known: MembershipUpdate,
     /// The settings of the router.
-    pub settings: Site,
+    pub settings: RouterSettings,
     /// Zones and routes from the operator's file; empty without one.
     #[serde(skip)]
     pub plans: Plans,
@@ -56,7 +56,7 @@
     pub gossip: Option<GossipPolicy>,
     /// The error of the operator's file, if it cannot be used. The rest of the configuration is valid all the same.
     #[serde(skip)]
-    pub refused: Option<String>,
+    pub operator_error: Option<String>,
 }
 
 /// The contents of an operator's file as they apply to one driver.
@@ -89,8 +89,8 @@
     /// Loads the configuration at start: the file that `RELAY_CONFIG` names, overridden by `RELAY_NAME`, `RELAY_LISTEN` and
     /// `RELAY_DISCOVERY`, and the operator's file that `BEACONSHORE_OPERATOR` names.
     pub fn from_env() -> Result<Config, String> {
-        let mut config = Config::reread()?;
-        if let Some(reason) = config.refused {
+        let mut config = Config::reload()?;
+        if let Some(reason) = config.operator_error {
             return Err(reason);
         }
         config.discovery = address("RELAY_DISCOVERY")?.unwrap_or(config.discovery);
@@ -99,9 +99,9 @@
 
     /// Loads the configuration again while the driver runs. The file's `discovery` now takes precedence over
     /// `RELAY_DISCOVERY`, because the variable still holds the value from the start. An operator's file that cannot be used
-    /// is recorded in `refused`.
-    pub fn reread() -> Result<Config, String> {
-        let mut config = Config::named()?;
+    /// is recorded in `operator_error`.
+    pub fn reload() -> Result<Config, String> {
+        let mut config = Config::load()?;
         config.name = variable("RELAY_NAME").unwrap_or(config.name);
         config.listen = address("RELAY_LISTEN")?.unwrap_or(config.listen);
         if let Some(path) = variable("BEACONSHORE_OPERATOR") {
@@ -110,14 +110,14 @@
                     config.plans = loaded.plans;
                     (config.accounting, config.gossip) = (loaded.accounting, loaded.gossip);
                 }
-                Err(reason) => config.refused = Some(format!("operator's file {reason}")),
+                Err(reason) => config.operator_error = Some(format!("operator's file {reason}")),
             }
         }
         Ok(config)
     }
 
     /// Loads the file that `RELAY_CONFIG` names, without the other variables.
-    pub fn named() -> Result<Config, String> {
+    pub fn load() -> Result<Config, String> {
         let path =
             variable("RELAY_CONFIG").ok_or("RELAY_CONFIG is not set; it must name the configuration file")?;
         let text = fs::read(&path).map_err(|e| format!("configuration {path}: {e}"))?;
@@ -129,21 +129,21 @@
         let text = fs::read_to_string(path).map_err(|e| format!("{path}: {e}"))?;
         let join_problems =
             |problems: Vec<Problem>| problems.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ");
-        self.operator(path, &text).map_err(join_problems)
+        self.parse_operator_file(path, &text).map_err(join_problems)
     }
 
     /// Parses an operator's file for this driver; the error holds all problems found. `file` names it in the problems.
-    pub fn operator(&self, file: &str, text: &str) -> Result<OperatorConfig, Vec<Problem>> {
+    pub fn parse_operator_file(&self, file: &str, text: &str) -> Result<OperatorConfig, Vec<Problem>> {
         let operator = parse(file, text).map_err(|e| vec![e])?;
-        let (settings, dialect) = (&self.settings.settings, &self.settings.dialect);
-        let mut plans = Plans { classes: dialect.classes.clone(), ..Plans::default() };
+        let (settings, protocol) = (&self.settings.module, &self.settings.protocol);
+        let mut plans = Plans { classes: protocol.class_names.clone(), ..Plans::default() };
         let mut problems = Vec::new();
         if let Some(zones) = &operator.zones {
             // Drivers are numbered by their position in the list of peers. One that is not in the list, or may not exchange
             // messages with peers, has no number and lends nothing.
             let number = self.peers.iter().position(|peer| Some(*peer) == self.peer_listen);
             let number = number.filter(|_| settings.limits.peer_messages).map(|n| n as u32);
-            match beaconshore_operator::zones(file, text, zones, &dialect.zones) {
+            match beaconshore_operator::zones(file, text, zones, &protocol.zone_names) {
                 Ok(policy) => plans.zones = Some(Policy { number, ..policy }),
                 Err(problem) => problems.push(problem),
             }
@@ -154,7 +154,7 @@
                 text,
                 routes,
                 settings,
-                (&dialect.classes, &dialect.zones),
+                (&protocol.class_names, &protocol.zone_names),
             ) {
                 Ok(policy) => plans.routes = Some(policy),
                 Err(found) => problems.extend(found),
@@ -181,9 +181,12 @@
             ("limits", self.limits != other.limits),
             ("peers", peers(self) != peers(other)),
             ("settings", self.settings != other.settings),
-            ("the operator's gossip", other.refused.is_none() && self.gossip != other.gossip),
-            ("the operator's accounting", other.refused.is_none() && self.accounting != other.accounting),
-            ("the operator's zones", other.refused.is_none() && self.plans.zones != other.plans.zones),
+            ("the operator's gossip", other.operator_error.is_none() && self.gossip != other.gossip),
+            (
+                "the operator's accounting",
+                other.operator_error.is_none() && self.accounting != other.accounting,
+            ),
+            ("the operator's zones", other.operator_error.is_none() && self.plans.zones != other.plans.zones),
         ];
         changes.into_iter().filter(|(_, changed)| *changed).map(|(name, _)| name).collect()
     }
@@ -191,8 +194,8 @@
     /// Parses and checks a configuration file.
     pub fn parse(text: &[u8]) -> Result<Config, String> {
         let config: Config = serde_json::from_slice(text).map_err(|e| e.to_string())?;
-        let dialect = &config.settings.dialect;
-        if dialect.connect_timeout == 0 || dialect.conn_idle == 0 {
+        let protocol = &config.settings.protocol;
+        if protocol.connect_timeout == 0 || protocol.idle_timeout == 0 {
             return Err(
                 "settings.limits.connectTimeoutUs and connIdleUs must be set and greater than 0".into()
             );
--- a/crates/driver/src/control.rs
+++ b/crates/driver/src/control.rs
@@ -30,34 +30,34 @@
 }
 
 /// The control plane of a driver. Its actors run while its executor is being run.
-pub struct Control {
+pub struct ControlPlane {
     executor: Rc<LocalExecutor<'static>>,
     node: Rc<Node>,
     module: DecisionHandle,
 }
 
-impl Control {
+impl ControlPlane {
     /// Creates all actors. Returns an error if the socket for peers cannot be opened.
     pub fn start(
         config: Config,
         transport: Rc<dyn MemberTransport>,
         reloads: impl Stream<Item = Config> + 'static,
-    ) -> Result<Control, String> {
+    ) -> Result<ControlPlane, String> {
         let bind_error = |e: std::io::Error| format!("listening for peers: {e}");
-        let peer_address = config.peer_listen.filter(|_| config.settings.settings.limits.peer_messages);
+        let peer_address = config.peer_listen.filter(|_| config.settings.module.limits.peer_messages);
         let socket = peer_address.map(UdpSocket::bind).transpose().map_err(bind_error)?;
         let socket = socket.map(Async::new).transpose().map_err(bind_error)?;
 
         let executor = Rc::new(LocalExecutor::new());
         let node = Rc::new(Node::new(&config, Rc::downgrade(&executor)));
-        let peers = socket.map(|socket| peers::start(&node, socket, &config));
+        let peers = socket.map(|socket| peers::create(&node, socket, &config));
         let (module, handle) = DecisionActor::new(node.clone(), &config, peers.as_ref(), transport);
         node.spawn(module.run(config.known.clone()));
         peers.into_iter().for_each(|peers| node.spawn(peers.run(handle.clone())));
         let (discovery_addresses, addresses) = async_channel::unbounded();
         node.spawn(discovery::run(node.clone(), config.discovery, addresses, handle.clone()));
         node.spawn(reload(config, reloads, discovery_addresses, handle.clone()));
-        Ok(Control { executor, node, module: handle })
+        Ok(ControlPlane { executor, node, module: handle })
     }
 
     /// The executor on which the actors run.
--- a/crates/driver/src/decision/message.rs
+++ b/crates/driver/src/decision/message.rs
@@ -11,8 +11,8 @@
 use beaconshore::interface::{MemberId, Micros, Outcome, Report, RequestId, SessionId};
 
 use crate::client::{CancelFlag, ClientMessage};
-use crate::listing::Listing;
 use crate::member::AttemptEnd;
+use crate::membership::MembershipUpdate;
 use crate::peers::PeerMessage;
 use crate::pg;
 
@@ -108,7 +108,7 @@
 #[derive(Clone)]
 pub struct DecisionHandle {
     pub(super) mailbox: Sender<DecisionMessage>,
-    pub(super) lists: Sender<Listing>,
+    pub(super) lists: Sender<MembershipUpdate>,
     pub(super) peer_messages: Sender<(u32, PeerMessage)>,
 }
 
@@ -132,7 +132,7 @@
     }
 
     /// Sends a membership list, which is handled before all other messages. Waits while the mailbox is full.
-    pub async fn send_list(&self, listing: Listing) {
+    pub async fn send_list(&self, listing: MembershipUpdate) {
         let _ = self.lists.send(listing).await;
     }
 }
--- a/crates/driver/src/decision/mod.rs
+++ b/crates/driver/src/decision/mod.rs
@@ -24,10 +24,10 @@
 use crate::client::{Answer, ClientMessage};
 use crate::config::Config;
 use crate::control::MemberTransport;
-use crate::listing::{Instance, Lifecycle, Listing, LEADER};
 use crate::member::{Attempt, AttemptEnd, MemberMessage};
+use crate::membership::{Lifecycle, MemberEntry, MembershipUpdate, LEADER};
 use crate::meter::Work;
-use crate::peers::{self, MemberState, MemberTag, Outgoing, PeerMessage, Peers};
+use crate::peers::{self, MemberState, MemberTag, OutgoingMessage, PeerMessage, Peers};
 use crate::pg;
 use crate::stats::Counter;
 use crate::Node;
@@ -58,11 +58,11 @@
     node: Rc<Node>,
     router: Steering,
     mailbox: Receiver<DecisionMessage>,
-    lists: Receiver<Listing>,
+    lists: Receiver<MembershipUpdate>,
     /// Messages from other drivers, each with the number of the driver that sent it.
     peer_messages: Receiver<(u32, PeerMessage)>,
     handle: DecisionHandle,
-    peers: Option<Sender<Outgoing>>,
+    peers: Option<Sender<OutgoingMessage>>,
     transport: Rc<dyn MemberTransport>,
     requests: OpenRequests<Sender<ClientMessage>>,
     /// Members by the id that this driver gave them, until the decision module forgets them.
@@ -97,7 +97,7 @@
             peer_messages: peer_message_sender,
         };
         let router = {
-            let (settings, plans) = (node.site.settings.clone(), config.plans.clone());
+            let (settings, plans) = (node.settings.module.clone(), config.plans.clone());
             Steering::new(settings, plans, config.seed, node.clock.now())
         };
         let (requests, members, ids, tags, ids_assigned, timer_at, last_sweep) = Default::default();
@@ -123,9 +123,9 @@
     }
 
     /// Runs the actor, starting from the cached membership list.
-    pub async fn run(mut self, cached: Listing) {
+    pub async fn run(mut self, cached: MembershipUpdate) {
         enum Wake {
-            List(Listing),
+            List(MembershipUpdate),
             Message(DecisionMessage),
             PeerMessage(u32, PeerMessage),
             Timer,
@@ -166,8 +166,8 @@
                 }
                 Ok(Wake::Timer) => {
                     (self.timer_at, armed_at) = (None, None);
-                    if self.node.stalls.beat(self.node.clock.now()) {
-                        self.node.stats.count(Counter::Standstills);
+                    if self.node.stall_detector.on_timer_fired(self.node.clock.now()) {
+                        self.node.stats.count(Counter::Stalls);
                     }
                     node.meter.measure(Work::Timer, || {
                         self.handle(&Event::Timer);
@@ -184,7 +184,7 @@
             DecisionMessage::RequestAbandoned(id) => self.on_request_abandoned(id),
             DecisionMessage::AttemptEnded(end) => self.on_attempt_end(*end),
             DecisionMessage::ProbeEnded(member, outcome, mut report) => {
-                report.position = report.position.map(|p| self.node.skew.ours(p));
+                report.position = report.position.map(|p| self.node.clock_skew.to_local(p));
                 self.handle(&Event::ProbeEnded { member, outcome, report });
             }
             DecisionMessage::FailOpenRequests => self.fail_open_requests(),
@@ -192,7 +192,7 @@
                 self.router.reload_routes(policy, self.node.clock.now())
             }
             DecisionMessage::ConfirmAttempt(request, member, reply) => {
-                let (decided_at, list_version) = (self.node.clock.now(), self.node.lists.get());
+                let (decided_at, list_version) = (self.node.clock.now(), self.node.lists_applied.get());
                 // The client may have left without the message about it being read yet: the cancel flag
                 // tells.
                 let is_allowed =
@@ -210,7 +210,7 @@
                 self.handle(&Event::PeerUpdates(updates));
             }
             PeerMessage::Loans(mut loans) => {
-                loans.iter_mut().for_each(|loan| loan.until = self.node.skew.ours(loan.until));
+                loans.iter_mut().for_each(|loan| loan.until = self.node.clock_skew.to_local(loan.until));
                 self.handle(&Event::SpillLoans(from, loans));
             }
             // The peers' actor compares digests itself.
@@ -221,27 +221,27 @@
     // ---- Turning messages into events ----
 
     /// Passes a membership list or a change of it to the decision module.
-    fn on_list(&mut self, kind: ListKind, listing: Listing) {
-        self.node.stats.count(Counter::Lists);
-        self.node.lists.set(self.node.lists.get() + 1);
+    fn on_list(&mut self, kind: ListKind, listing: MembershipUpdate) {
+        self.node.stats.count(Counter::ListUpdates);
+        self.node.lists_applied.set(self.node.lists_applied.get() + 1);
         // An instance that is gone and was never known is skipped.
         let is_relevant =
-            |i: &Instance| i.lifecycle != Lifecycle::Gone || self.ids.contains_key(i.instance_id.as_str());
-        let instances: Vec<Instance> = listing.instances.into_iter().filter(is_relevant).collect();
+            |i: &MemberEntry| i.lifecycle != Lifecycle::Gone || self.ids.contains_key(i.instance_id.as_str());
+        let instances: Vec<MemberEntry> = listing.instances.into_iter().filter(is_relevant).collect();
         let entries: Vec<ListEntry> = instances.into_iter().map(|i| self.register_instance(i)).collect();
         self.handle(&Event::List(kind, &entries));
     }
 
     /// Gives the instance's member an id if it has none, notes its address, and builds its entry for the
     /// decision module.
-    fn register_instance(&mut self, instance: Instance) -> ListEntry {
+    fn register_instance(&mut self, instance: MemberEntry) -> ListEntry {
         let address = instance.host_port;
         let member = match self.ids.get(instance.instance_id.as_str()) {
             Some(&id) => id,
             None => {
                 let (id, name) = (MemberId(self.ids_assigned), Rc::<str>::from(instance.instance_id));
                 self.ids_assigned += 1;
-                let tag = peers::tag(&name);
+                let tag = peers::member_tag(&name);
                 self.members.insert(id, KnownMember { name: name.clone(), tag, address, actor: None });
                 self.ids.insert(name, id);
                 self.tags.entry(tag).or_default().push(id);
@@ -252,7 +252,7 @@
             known.address = address;
             known.actor.iter().for_each(|actor| drop(actor.try_send(MemberMessage::AddressChanged(address))));
         }
-        let zone = self.node.site.dialect.zones.iter().position(|name| *name == instance.zone);
+        let zone = self.node.settings.protocol.zone_names.iter().position(|name| *name == instance.zone);
         ListEntry {
             member,
             group: GroupId(instance.cell),
@@ -264,7 +264,7 @@
             },
             started: Some(instance.started_at_ms.saturating_mul(1000))
                 .filter(|&at| at > 0)
-                .map(|at| self.node.skew.ours(at)),
+                .map(|at| self.node.clock_skew.to_local(at)),
             primary: instance.role.as_deref() == Some(LEADER),
         }
     }
@@ -287,8 +287,8 @@
         let routed = self.router.is_routed().then(|| statement.clone());
         match self.requests.add(id, client, statement, deadline, cancel_flag) {
             AddResult::Opened => {}
-            AddResult::ClientGone => return self.node.stats.count(Counter::HungUp),
-            AddResult::DuplicateId => self.node.stats.check(false, "a request is accepted once"),
+            AddResult::ClientGone => return self.node.stats.count(Counter::RequestsAbandoned),
+            AddResult::DuplicateId => self.node.stats.check_invariant(false, "a request is accepted once"),
         }
         let request = Request {
             id,
@@ -299,7 +299,7 @@
             repeat: is_repeat,
             last_write_ago: client_request
                 .min_position_ms
-                .map(|ms| now.saturating_sub(self.node.skew.ours(ms.saturating_mul(1000)))),
+                .map(|ms| now.saturating_sub(self.node.clock_skew.to_local(ms.saturating_mul(1000)))),
         };
         let Some(routed) = routed else { return self.handle_at(now, &Event::Request(request)) };
         let connection =
@@ -313,7 +313,7 @@
     fn on_request_abandoned(&mut self, id: RequestId) {
         // The request is no longer open if its answer crossed this message.
         let Some(in_flight_at) = self.requests.abandon(id) else { return };
-        self.node.stats.count(Counter::HungUp);
+        self.node.stats.count(Counter::RequestsAbandoned);
         if let Some(member) = in_flight_at {
             self.send_to_member(member, MemberMessage::Cancel(id));
         }
@@ -330,7 +330,7 @@
             self.handle(&Event::ClientDisconnected(id));
             self.node.stats.count(Counter::Failed);
             if !open_request.was_tried {
-                self.node.stats.count(Counter::Untried);
+                self.node.stats.count(Counter::AnsweredWithoutAttempt);
             }
             let _ = open_request.client.try_send(ClientMessage::Answer(id, Answer::Failed));
         }
@@ -340,13 +340,14 @@
     /// module.
     fn on_attempt_end(&mut self, end: AttemptEnd) {
         let AttemptEnd { request, member, outcome, answer, self_report, duration } = end;
-        self.node
-            .stats
-            .check(self.requests.end_attempt(request, member), "an attempt that ends was in flight");
+        self.node.stats.check_invariant(
+            self.requests.end_attempt(request, member),
+            "an attempt that ends was in flight",
+        );
         let counter = match outcome {
-            Outcome::Error => Some(Counter::Errors),
-            Outcome::Rejected => Some(Counter::TurnedAway),
-            Outcome::Misdirected => Some(Counter::Misplaced),
+            Outcome::Error => Some(Counter::MemberErrors),
+            Outcome::Rejected => Some(Counter::RejectedAsFull),
+            Outcome::Misdirected => Some(Counter::RejectedByRoleOrLag),
             Outcome::Unreachable => Some(Counter::Unreachable),
             Outcome::Reset => Some(Counter::Resets),
             Outcome::TimedOut => Some(Counter::TimedOut),
@@ -364,7 +365,7 @@
             self.compare_clocks(at);
         }
         for position in [&mut note.position, &mut report.position] {
-            *position = position.map(|p| self.node.skew.ours(p));
+            *position = position.map(|p| self.node.clock_skew.to_local(p));
         }
         self.handle(&Event::AttemptEnded(AttemptResult {
             request,
@@ -379,10 +380,10 @@
 
     /// Compares this machine's clock with the time that a primary just reported as its position.
     fn compare_clocks(&self, primary_time: Micros) {
-        if self.node.skew.sample(primary_time, self.node.clock.now()) {
+        if self.node.clock_skew.add_sample(primary_time, self.node.clock.now()) {
             warn!(
                 "this machine's clock is {} ms ahead of the members' clocks; check its time synchronization",
-                self.node.skew.difference() / 1000
+                self.node.clock_skew.difference() / 1000
             );
         }
     }
@@ -390,7 +391,11 @@
     /// A state that a peer sent, as an update of a member. None if no member, or more than one, has its tag.
     fn to_member_update(&self, state: &MemberState) -> Option<MemberUpdate> {
         let [member] = self.tags.get(&state.member)?[..] else { return None };
-        Some(MemberUpdate { member, position: self.node.skew.ours(state.position), role: state.role })
+        Some(MemberUpdate {
+            member,
+            position: self.node.clock_skew.to_local(state.position),
+            role: state.role,
+        })
     }
 
     // ---- Turning actions into messages ----
@@ -418,7 +423,7 @@
             Action::SpillLoans(loans) => self.send_loans(loans),
             Action::SetTimer(after) => {
                 self.timer_at = Some(self.node.clock.instant(now + after));
-                self.node.stalls.expect(now, now + after);
+                self.node.stall_detector.on_timer_set(now, now + after);
             }
             // The membership list is watched at all times, so that there is nothing to do.
             Action::Subscribe => {}
@@ -429,16 +434,16 @@
     /// Starts an attempt of a request at a member.
     fn send(&mut self, now: Micros, request: RequestId, member: MemberId, wait: Micros) {
         let Some(start) = self.requests.start_attempt(request, member, wait, now) else {
-            return self.node.stats.check(false, "an attempt is sent only for an open request");
+            return self.node.stats.check_invariant(false, "an attempt is sent only for an open request");
         };
-        self.node.stats.check(start.is_only_attempt, "a request has at most one attempt in flight");
+        self.node.stats.check_invariant(start.is_only_attempt, "a request has at most one attempt in flight");
         let AttemptStart { statement, deadline, cancel_flag, .. } = start;
         let attempt = Attempt {
             request,
             statement,
             deadline,
             decided_at: now,
-            list_version: self.node.lists.get(),
+            list_version: self.node.lists_applied.get(),
             cancel_flag,
         };
         self.send_to_member(member, MemberMessage::Attempt(attempt));
@@ -450,9 +455,9 @@
         let Some(OpenRequest { client, was_tried, in_flight_at, .. }) = self.requests.end(id) else { return };
         let stats = &self.node.stats;
         if !was_tried {
-            stats.count(Counter::Untried);
+            stats.count(Counter::AnsweredWithoutAttempt);
         }
-        stats.check(in_flight_at.is_none(), "no attempt is in flight when its request is answered");
+        stats.check_invariant(in_flight_at.is_none(), "no attempt is in flight when its request is answered");
         stats.count(match answer {
             Answer::Served(_) => Counter::Served,
             Answer::Refused(_) => Counter::Refused,
@@ -464,7 +469,7 @@
     /// Sends a message to a member's actor, which is started if it does not run yet.
     fn send_to_member(&mut self, member: MemberId, message: MemberMessage) {
         let Some(known) = self.members.get_mut(&member) else {
-            return self.node.stats.check(false, "a member that is sent a message is known");
+            return self.node.stats.check_invariant(false, "a member that is sent a message is known");
         };
         let start_actor = || self.transport.start(&self.node, &self.handle, member, known.address);
         let _ = known.actor.get_or_insert_with(start_actor).try_send(message);
@@ -489,29 +494,29 @@
         let known_updates =
             updates.iter().filter_map(|update| Some((update, self.members.get(&update.member)?)));
         // Drivers exchange times of the members' clocks, since their own clocks may differ.
-        let theirs = |update: &MemberUpdate| self.node.skew.theirs(update.position);
+        let theirs = |update: &MemberUpdate| self.node.clock_skew.to_members(update.position);
         let states = known_updates.map(|(update, known)| MemberState {
             member: known.tag,
             position: theirs(update),
             role: update.role,
         });
         let message = PeerMessage::MemberStates(states.collect());
-        if peers.try_send(Outgoing { to: None, message }).is_err() {
-            self.node.stats.count(Counter::Dropped);
+        if peers.try_send(OutgoingMessage { to: None, message }).is_err() {
+            self.node.stats.count(Counter::DatagramsDropped);
         }
     }
 
     /// Sends spill loans to the other drivers.
     fn send_loans(&mut self, mut loans: Vec<SpillLoan>) {
         let Some(peers) = &self.peers else { return };
-        loans.iter_mut().for_each(|loan| loan.until = self.node.skew.theirs(loan.until));
+        loans.iter_mut().for_each(|loan| loan.until = self.node.clock_skew.to_members(loan.until));
         // A loan is sent only to the driver that borrows.
         let mut by_driver: BTreeMap<Option<u32>, Vec<SpillLoan>> = BTreeMap::new();
         loans.into_iter().for_each(|loan| by_driver.entry(loan.to).or_default().push(loan));
         for (to, loans) in by_driver {
             let message = PeerMessage::Loans(loans);
-            if peers.try_send(Outgoing { to, message }).is_err() {
-                self.node.stats.count(Counter::Dropped);
+            if peers.try_send(OutgoingMessage { to, message }).is_err() {
+                self.node.stats.count(Counter::DatagramsDropped);
             }
         }
     }
@@ -525,11 +530,11 @@
             return;
         }
         self.last_sweep = now;
-        self.node.stats.note(self.router.sizes());
-        self.node.stats.note_zones(self.router.zones(now));
+        self.node.stats.record_sizes(self.router.sizes());
+        self.node.stats.record_zones(self.router.zones(now));
         for id in self.requests.overdue(now) {
             warn!("request {} got no decision before its deadline; answering it as failed", id.0);
-            self.node.stats.check(false, "every request is answered before its deadline");
+            self.node.stats.check_invariant(false, "every request is answered before its deadline");
             self.handle_at(now, &Event::ClientDisconnected(id));
             self.answer(id, Answer::Failed);
         }
--- a/crates/driver/src/descriptors.rs
+++ b/crates/driver/src/descriptors.rs
@@ -16,10 +16,10 @@
 /// The permits for connections of both kinds.
 pub struct Descriptors {
     /// For connections of clients.
-    pub clients: Places,
+    pub clients: PermitPool,
     /// For connections to members. These are fewer, since a waiting request occupies a client connection but none to a
     /// member.
-    pub members: Places,
+    pub members: PermitPool,
 }
 
 impl Descriptors {
@@ -27,28 +27,28 @@
     pub fn divide(sockets: usize) -> Self {
         let free = sockets.saturating_sub(RESERVED).max(2);
         let members = (free * 2 / 5).max(1);
-        Descriptors { clients: Places::new(free - members), members: Places::new(members) }
+        Descriptors { clients: PermitPool::new(free - members), members: PermitPool::new(members) }
     }
 }
 
 /// Order in which idle connections are closed when the limit is reached; lower values first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Rank {
+pub enum IdleRank {
     /// Connections that serve no request: none has been received on them yet, their next message is incomplete, or they
     /// are being closed.
-    Useless,
+    Unproductive,
     /// Connections that have served requests and wait for the next one.
-    Used,
+    BetweenRequests,
 }
 
 /// The permits for connections of one kind, and the idle connections that can be closed to free some.
 #[derive(Clone)]
-pub struct Places(Rc<Inner>);
+pub struct PermitPool(Rc<Inner>);
 
 struct Inner {
     free: Arc<Semaphore>,
     /// Number of permits in use.
-    taken: Cell<usize>,
+    in_use: Cell<usize>,
     /// The idle connections, with the functions that ask them to close.
     idle: RefCell<BTreeMap<IdlePosition, Box<dyn Fn()>>>,
     /// Number of the next registration of an idle connection.
@@ -58,46 +58,52 @@
 }
 
 /// Position of an idle connection in the order of closing: within one rank, the longest idle comes first.
-type IdlePosition = (Rank, u64);
+type IdlePosition = (IdleRank, u64);
 
 /// A permit for one connection. Dropping it frees the descriptor for others.
 pub struct Permit {
-    places: Places,
+    pool: PermitPool,
     _semaphore_guard: SemaphoreGuardArc,
 }
 
 /// Registration of an idle connection, in effect until it is dropped.
-pub struct Rest {
-    places: Places,
+pub struct IdleRegistration {
+    pool: PermitPool,
     position: IdlePosition,
 }
 
-impl Places {
+impl PermitPool {
     fn new(count: usize) -> Self {
-        let (taken, idle, next_number, waiting) = Default::default();
-        Places(Rc::new(Inner { free: Arc::new(Semaphore::new(count)), taken, idle, next_number, waiting }))
+        let (in_use, idle, next_number, waiting) = Default::default();
+        PermitPool(Rc::new(Inner {
+            free: Arc::new(Semaphore::new(count)),
+            in_use,
+            idle,
+            next_number,
+            waiting,
+        }))
     }
 
     /// Returns a permit if one is free.
-    pub fn try_take(&self) -> Option<Permit> {
+    pub fn try_acquire(&self) -> Option<Permit> {
         self.0.free.try_acquire_arc().map(|guard| self.permit(guard))
     }
 
     /// Waits for a permit. Asks the first idle connection to close; if there is none, the next that becomes idle is asked.
-    pub async fn take(&self) -> Permit {
+    pub async fn acquire(&self) -> Permit {
         self.close_first();
         let _guard = WaitGuard::new(&self.0.waiting);
         self.permit(self.0.free.acquire_arc().await)
     }
 
     /// Number of permits in use.
-    pub fn taken(&self) -> usize {
-        self.0.taken.get()
+    pub fn in_use(&self) -> usize {
+        self.0.in_use.get()
     }
 
     fn permit(&self, guard: SemaphoreGuardArc) -> Permit {
-        self.0.taken.set(self.taken() + 1);
-        Permit { places: self.clone(), _semaphore_guard: guard }
+        self.0.in_use.set(self.in_use() + 1);
+        Permit { pool: self.clone(), _semaphore_guard: guard }
     }
 
     fn close_first(&self) {
@@ -106,23 +112,23 @@
     }
 
     /// Registers a connection as idle. `close` asks it to close.
-    pub fn rest(&self, rank: Rank, close: impl Fn() + 'static) -> Rest {
+    pub fn register_idle(&self, rank: IdleRank, close: impl Fn() + 'static) -> IdleRegistration {
         let position = (rank, self.0.next_number.get());
         self.0.next_number.set(position.1 + 1);
         self.0.idle.borrow_mut().insert(position, Box::new(close));
-        self.asked_in_vain();
-        Rest { places: self.clone(), position }
+        self.on_close_declined();
+        IdleRegistration { pool: self.clone(), position }
     }
 
     /// Records that a connection that was asked to close is in use again. Another one is asked if a task still waits.
-    pub fn asked_in_vain(&self) {
+    pub fn on_close_declined(&self) {
         if self.0.waiting.get() > 0 {
             self.close_first();
         }
     }
 
     /// Asks all idle connections to close.
-    pub fn close_idle(&self) {
+    pub fn close_all_idle(&self) {
         let idle = std::mem::take(&mut *self.0.idle.borrow_mut());
         idle.into_values().for_each(|close| close());
     }
@@ -130,14 +136,14 @@
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        let taken = &self.places.0.taken;
-        taken.set(taken.get() - 1);
+        let in_use = &self.pool.0.in_use;
+        in_use.set(in_use.get() - 1);
     }
 }
 
-impl Drop for Rest {
+impl Drop for IdleRegistration {
     fn drop(&mut self) {
-        self.places.0.idle.borrow_mut().remove(&self.position);
+        self.pool.0.idle.borrow_mut().remove(&self.position);
     }
 }
 
@@ -163,30 +169,30 @@
 
     #[test]
     fn unused_connections_are_closed_first_then_the_longest_idle() {
-        let places = Places::new(3);
+        let pool = PermitPool::new(3);
         let closed = Rc::new(RefCell::new(Vec::new()));
         let register = |rank, name: &'static str| {
             let closed = closed.clone();
-            places.rest(rank, move || closed.borrow_mut().push(name))
+            pool.register_idle(rank, move || closed.borrow_mut().push(name))
         };
         let _idle = (
-            register(Rank::Used, "used"),
-            register(Rank::Used, "used later"),
-            register(Rank::Useless, "useless"),
+            register(IdleRank::BetweenRequests, "used"),
+            register(IdleRank::BetweenRequests, "used later"),
+            register(IdleRank::Unproductive, "useless"),
         );
-        drop(register(Rank::Useless, "awake again"));
-        (0..3).for_each(|_| places.close_first());
+        drop(register(IdleRank::Unproductive, "awake again"));
+        (0..3).for_each(|_| pool.close_first());
         assert_eq!(*closed.borrow(), ["useless", "used", "used later"]);
     }
 
     #[test]
     fn dropped_permits_can_be_acquired_again() {
-        let places = Places::new(2);
-        let held = (places.try_take(), places.try_take());
-        assert!(held.0.is_some() && held.1.is_some() && places.try_take().is_none());
-        assert_eq!(places.taken(), 2);
+        let pool = PermitPool::new(2);
+        let held = (pool.try_acquire(), pool.try_acquire());
+        assert!(held.0.is_some() && held.1.is_some() && pool.try_acquire().is_none());
+        assert_eq!(pool.in_use(), 2);
         drop(held);
-        assert_eq!(places.taken(), 0);
-        assert!(places.try_take().is_some());
+        assert_eq!(pool.in_use(), 0);
+        assert!(pool.try_acquire().is_some());
     }
 }
--- a/crates/driver/src/discovery/follower.rs
+++ b/crates/driver/src/discovery/list_sync.rs
@@ -4,13 +4,13 @@
 //! Keeps the version in force and the schedule of calls. It makes no calls itself and decides nothing about members.
 //!
 //! A watch alone is not reliable: it may fall silent, lag behind, or report no change although there was one. The full list
-//! is therefore also fetched at a regular interval ([`RESYNC`]), and at once when a watch ends. Neither source undoes a
+//! is therefore also fetched at a regular interval ([`RESYNC_INTERVAL`]), and at once when a watch ends. Neither source undoes a
 //! newer state of the other: a full list is discarded if the watch delivered an update while it was being fetched, and the
 //! watch is reopened from the version of a full list that the watch had not delivered.
 
 use std::time::Instant;
 
-use super::pace::{Pace, RESYNC};
+use super::call_timing::{CallTiming, RESYNC_INTERVAL};
 
 /// State of a call to discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,29 +25,29 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Fetch the full list.
-    AskWhole,
+    FetchList,
     /// Open a watch for the changes after this version.
-    Watch(u64),
+    OpenWatch(u64),
     /// Close the open watch; anything that it still delivers is ignored.
-    DropWatch,
+    CloseWatch,
 }
 
 /// Whether a received full list is to be applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum FullListVerdict {
     /// It is to be applied.
-    Applies,
+    Apply,
     /// It is the list in force, unchanged.
-    Known,
+    Unchanged,
     /// The watch delivered an update while it was being fetched; it is fetched again.
-    Overtaken,
+    Outdated,
 }
 
 /// Keeps the membership list in step with discovery at one address.
 #[derive(Debug)]
-pub struct Follower {
-    pace: Pace,
-    watch_pace: Pace,
+pub struct ListSync {
+    timing: CallTiming,
+    watch_timing: CallTiming,
     version: Option<u64>,
     /// Digest of the full list received last.
     digest: Option<u64>,
@@ -60,14 +60,14 @@
     has_full_list: bool,
 }
 
-impl Follower {
+impl ListSync {
     /// Starts the schedule now. `version` is the version of the full list if this address has just delivered one.
-    pub fn new(pace: Pace, version: Option<u64>, now: Instant) -> Self {
-        let full_list = Call::Due(if version.is_some() { now + RESYNC } else { now });
-        let (watch, watch_pace, has_full_list) = (Call::Due(now), pace, version.is_some());
-        Follower {
-            pace,
-            watch_pace,
+    pub fn new(timing: CallTiming, version: Option<u64>, now: Instant) -> Self {
+        let full_list = Call::Due(if version.is_some() { now + RESYNC_INTERVAL } else { now });
+        let (watch, watch_timing, has_full_list) = (Call::Due(now), timing, version.is_some());
+        ListSync {
+            timing,
+            watch_timing,
             version,
             digest: None,
             update_count: 0,
@@ -92,58 +92,58 @@
     }
 
     /// The next action to take now. To be called until it returns `None`.
-    pub fn next(&mut self, now: Instant) -> Option<Action> {
+    pub fn next_action(&mut self, now: Instant) -> Option<Action> {
         if std::mem::take(&mut self.close_watch) {
-            return Some(Action::DropWatch);
+            return Some(Action::CloseWatch);
         }
         if matches!(self.full_list, Call::Due(due) if due <= now) {
             self.full_list = Call::Running(self.update_count);
-            return Some(Action::AskWhole);
+            return Some(Action::FetchList);
         }
         let from = self.version.filter(|_| self.has_full_list)?;
         if matches!(self.watch, Call::Due(due) if due <= now) {
             self.watch = Call::Running(self.update_count);
-            return Some(Action::Watch(from));
+            return Some(Action::OpenWatch(from));
         }
         None
     }
 
     /// Records a received full list, and returns whether to apply it.
-    pub fn whole_came(&mut self, version: u64, digest: u64, now: Instant) -> Verdict {
+    pub fn on_full_list(&mut self, version: u64, digest: u64, now: Instant) -> FullListVerdict {
         let started_at_count =
             if let Call::Running(update_count) = self.full_list { update_count } else { self.update_count };
-        self.pace.answered();
+        self.timing.reset();
         if started_at_count != self.update_count && self.version.is_some_and(|known| version < known) {
             self.full_list = Call::Due(now);
-            return Verdict::Overtaken;
+            return FullListVerdict::Outdated;
         }
-        (self.full_list, self.has_full_list) = (Call::Due(now + RESYNC), true);
+        (self.full_list, self.has_full_list) = (Call::Due(now + RESYNC_INTERVAL), true);
         let version_changed = self.version != Some(version);
         if !version_changed && self.digest == Some(digest) {
-            return Verdict::Known;
+            return FullListVerdict::Unchanged;
         }
         if let (true, Call::Running(_)) = (version_changed, self.watch) {
             (self.close_watch, self.watch) = (true, Call::Due(now));
         }
         (self.version, self.digest) = (Some(version), Some(digest));
-        Verdict::Applies
+        FullListVerdict::Apply
     }
 
     /// Records that a call for the full list failed; it is repeated after a pause.
-    pub fn whole_failed(&mut self, now: Instant) {
-        self.full_list = Call::Due(now + self.pace.pause());
+    pub fn on_full_list_failure(&mut self, now: Instant) {
+        self.full_list = Call::Due(now + self.timing.next_pause());
     }
 
     /// Records an update from the open watch. It is always applied.
-    pub fn changed(&mut self, version: u64) {
+    pub fn on_update(&mut self, version: u64) {
         (self.version, self.update_count) = (Some(version), self.update_count + 1);
-        self.watch_pace.answered();
+        self.watch_timing.reset();
     }
 
     /// Records that the watch ended or could not be opened. Updates may have been missed, and the next watch may fall
     /// silent too, so the full list is fetched at once, unless a call for it is already running.
-    pub fn watch_ended(&mut self, now: Instant) {
-        self.watch = Call::Due(now + self.watch_pace.pause());
+    pub fn on_watch_end(&mut self, now: Instant) {
+        self.watch = Call::Due(now + self.watch_timing.next_pause());
         self.has_full_list = false;
         if let Call::Due(due) = self.full_list {
             self.full_list = Call::Due(due.min(now));
--- a/crates/driver/src/discovery/mod.rs
+++ b/crates/driver/src/discovery/mod.rs
@@ -2,12 +2,12 @@
 //! version on. A watch that breaks is reopened after a pause.
 //!
 //! Owns the calls to discovery, and passes every list to the module's actor unchanged; it decides nothing about members.
-//! Which calls are made when, and which list is applied, is decided by [`follower`], without I/O.
+//! Which calls are made when, and which list is applied, is decided by [`list_sync`], without I/O.
 
-pub mod follower;
-pub mod pace;
+pub mod call_timing;
+pub mod list_sync;
 mod response;
-pub mod values;
+pub mod update_decoder;
 
 use std::fmt;
 use std::future::Future;
@@ -24,13 +24,13 @@
 
 use crate::decision::DecisionHandle;
 use crate::http;
-use crate::listing::Listing;
+use crate::membership::MembershipUpdate;
 use crate::meter::Work;
 use crate::stats::Counter;
 use crate::Node;
 
-use follower::{Action, Follower, Verdict};
-use pace::Pace;
+use call_timing::CallTiming;
+use list_sync::{Action, FullListVerdict, ListSync};
 use response::DiscoveryResponse;
 
 /// Why a call for the full list failed or a watch ended.
@@ -71,16 +71,19 @@
     loop {
         // The first future is polled first: once the new address has delivered its list, no update of the old watch counts.
         let moved = await_new_address(&node, &addresses);
-        let (next, listing) = future::or(moved, sync_with(&node, address, version, &module)).await;
+        let (next, update) = future::or(moved, sync_with(&node, address, version, &module)).await;
         info!("discovery address changed: the membership list now comes from {next}");
-        (address, version) = (next, Some(listing.generation));
-        module.send_list(listing).await;
+        (address, version) = (next, Some(update.generation));
+        module.send_list(update).await;
     }
 }
 
 /// Waits until a new discovery address has delivered its full list, and returns both. If further addresses arrive
 /// meanwhile, the newest one counts.
-async fn await_new_address(node: &Rc<Node>, addresses: &Receiver<SocketAddr>) -> (SocketAddr, Listing) {
+async fn await_new_address(
+    node: &Rc<Node>,
+    addresses: &Receiver<SocketAddr>,
+) -> (SocketAddr, MembershipUpdate) {
     let next_address = || async {
         match addresses.recv().await {
             Ok(address) => address,
@@ -90,23 +93,23 @@
     let mut address = next_address().await;
     loop {
         let newer = async { Err(next_address().await) };
-        let listing = async { Ok(fetch_until_received(node, address).await) };
-        match future::or(newer, listing).await {
-            Ok(listing) => return (address, listing),
+        let fetched = async { Ok(fetch_until_received(node, address).await) };
+        match future::or(newer, fetched).await {
+            Ok(update) => return (address, update),
             Err(newer) => address = newer,
         }
     }
 }
 
 /// Fetches the full list from an address, repeating the call until it succeeds.
-async fn fetch_until_received(node: &Rc<Node>, address: SocketAddr) -> Listing {
+async fn fetch_until_received(node: &Rc<Node>, address: SocketAddr) -> MembershipUpdate {
     let mut calls = CallState::new(node, address);
     loop {
-        match fetch_list(node, address, calls.pace.call).await {
-            Ok((listing, _)) => return listing,
+        match fetch_list(node, address, calls.timing.timeout).await {
+            Ok((update, _)) => return update,
             Err(error) => {
                 calls.failed(&error);
-                Timer::after(calls.pace.pause()).await;
+                Timer::after(calls.timing.next_pause()).await;
             }
         }
     }
@@ -119,59 +122,62 @@
     address: SocketAddr,
     version: Option<u64>,
     module: &DecisionHandle,
-) -> (SocketAddr, Listing) {
+) -> (SocketAddr, MembershipUpdate) {
     let mut calls = CallState::new(node, address);
-    let mut follower = Follower::new(calls.pace, version, Instant::now());
+    let mut list_sync = ListSync::new(calls.timing, version, Instant::now());
     let (mut full_list, mut watch) = (None, Watch::Closed);
     loop {
-        while let Some(action) = follower.next(Instant::now()) {
+        while let Some(action) = list_sync.next_action(Instant::now()) {
             match action {
-                Action::AskWhole => full_list = Some(Box::pin(fetch_list(node, address, calls.pace.call))),
-                Action::Watch(from) => {
-                    watch = Watch::Opening(Box::pin(open_watch(node, address, from, calls.pace.call)))
+                Action::FetchList => {
+                    full_list = Some(Box::pin(fetch_list(node, address, calls.timing.timeout)))
+                }
+                Action::OpenWatch(from) => {
+                    watch = Watch::Opening(Box::pin(open_watch(node, address, from, calls.timing.timeout)))
                 }
-                Action::DropWatch => watch = Watch::Closed,
+                Action::CloseWatch => watch = Watch::Closed,
             }
         }
-        let listing = async {
+        let fetched = async {
             match &mut full_list {
                 Some(call) => CallEvent::FullList(call.as_mut().await),
                 None => future::pending().await,
             }
         };
         let due = async {
-            match follower.due() {
+            match list_sync.due() {
                 Some(at) => drop(Timer::at(at).await),
                 None => future::pending().await,
             }
             CallEvent::Due
         };
         // Dropping the futures that are not ready loses no bytes: what they have read stays in their buffers.
-        match future::or(listing, future::or(watch.next_event(), due)).await {
+        match future::or(fetched, future::or(watch.next_event(), due)).await {
             CallEvent::Due => {}
-            CallEvent::FullList(Ok((listing, digest))) => {
+            CallEvent::FullList(Ok((update, digest))) => {
                 full_list = None;
                 calls.answered();
-                if follower.whole_came(listing.generation, digest, Instant::now()) == Verdict::Applies {
-                    module.send_list(listing).await;
+                if list_sync.on_full_list(update.generation, digest, Instant::now()) == FullListVerdict::Apply
+                {
+                    module.send_list(update).await;
                 }
             }
             CallEvent::FullList(Err(error)) => {
                 full_list = None;
                 calls.failed(&error);
-                follower.whole_failed(Instant::now());
+                list_sync.on_full_list_failure(Instant::now());
             }
             CallEvent::Opened(response) => watch = Watch::Open(response),
             CallEvent::Update(None) => calls.answered(),
-            CallEvent::Update(Some(listing)) => {
+            CallEvent::Update(Some(update)) => {
                 calls.answered();
-                follower.changed(listing.generation);
-                module.send_list(listing).await;
+                list_sync.on_update(update.generation);
+                module.send_list(update).await;
             }
             CallEvent::Ended(error) => {
                 watch = Watch::Closed;
                 calls.failed(&error);
-                follower.watch_ended(Instant::now());
+                list_sync.on_watch_end(Instant::now());
             }
         }
     }
@@ -179,9 +185,9 @@
 
 /// An event that the loop of [`sync_with`] waits for.
 enum CallEvent {
-    FullList(Result<(Listing, u64), CallError>),
+    FullList(Result<(MembershipUpdate, u64), CallError>),
     Opened(Box<DiscoveryResponse>),
-    Update(Option<Listing>),
+    Update(Option<MembershipUpdate>),
     Ended(CallError),
     Due,
 }
@@ -215,15 +221,14 @@
     node: &Rc<Node>,
     address: SocketAddr,
     call_timeout: Duration,
-) -> Result<(Listing, u64), CallError> {
+) -> Result<(MembershipUpdate, u64), CallError> {
     let response = DiscoveryResponse::open(node, address, "/v1/endpoints", call_timeout).await?;
-    node.stats.count(Counter::Watches);
+    node.stats.count(Counter::DiscoveryCalls);
     let text = response.read_body().await?;
     let mut digest = DefaultHasher::new();
     text.hash(&mut digest);
-    let listing =
-        node.meter.measure(Work::List, || serde_json::from_slice(&text)).map_err(CallError::Json)?;
-    Ok((listing, digest.finish()))
+    let update = node.meter.measure(Work::List, || serde_json::from_slice(&text)).map_err(CallError::Json)?;
+    Ok((update, digest.finish()))
 }
 
 /// Opens a watch for the changes after a version.
@@ -236,7 +241,7 @@
     let response =
         DiscoveryResponse::open(node, address, &format!("/v1/endpoints?watch=1&from={from}"), call_timeout)
             .await?;
-    node.stats.count(Counter::Watches);
+    node.stats.count(Counter::DiscoveryCalls);
     Ok(response)
 }
 
@@ -244,13 +249,18 @@
 struct CallState<'n> {
     node: &'n Rc<Node>,
     address: SocketAddr,
-    pace: Pace,
+    timing: CallTiming,
     is_down: bool,
 }
 
 impl<'n> CallState<'n> {
     fn new(node: &'n Rc<Node>, address: SocketAddr) -> Self {
-        CallState { node, address, pace: Pace::within(node.site.dialect.drain_grace), is_down: false }
+        CallState {
+            node,
+            address,
+            timing: CallTiming::for_drain_grace(node.settings.protocol.drain_grace),
+            is_down: false,
+        }
     }
 
     /// Records that discovery sent something that can be parsed.
@@ -262,7 +272,7 @@
 
     /// Records a failed call. Only the first failure in a row is logged.
     fn failed(&mut self, error: &CallError) {
-        self.node.stats.count(Counter::CallsFailed);
+        self.node.stats.count(Counter::DiscoveryCallsFailed);
         if !std::mem::replace(&mut self.is_down, true) {
             warn!(
                 "discovery at {} is lost, the last known list stays in use and calls are repeated: {error}",
--- a/crates/driver/src/discovery/response.rs
+++ b/crates/driver/src/discovery/response.rs
@@ -10,13 +10,13 @@
 use async_io::Async;
 use futures_lite::{future, AsyncWriteExt};
 
-use super::pace::SILENCE;
-use super::values::Values;
+use super::call_timing::WATCH_TIMEOUT;
+use super::update_decoder::UpdateDecoder;
 use super::CallError;
 use crate::buffer::Buffer;
-use crate::clock::until;
+use crate::clock::with_deadline;
 use crate::http;
-use crate::listing::Listing;
+use crate::membership::MembershipUpdate;
 use crate::meter::Work;
 use crate::stats::Counter;
 use crate::Node;
@@ -32,7 +32,7 @@
     stream: Async<TcpStream>,
     buffer: Buffer,
     response: http::Response,
-    values: Values,
+    decoder: UpdateDecoder,
     /// Deadline for a body that is read as one full list.
     body_deadline: Instant,
     /// When the last complete update arrived, or the last message that nothing has changed.
@@ -63,14 +63,14 @@
                     if response.status != 200 {
                         return Err(CallError::Status(response.status));
                     }
-                    let (values, last_message_at) = (Values::default(), Instant::now());
+                    let (decoder, last_message_at) = (UpdateDecoder::default(), Instant::now());
                     let node = node.clone();
                     return Ok(DiscoveryResponse {
                         node,
                         stream,
                         buffer,
                         response,
-                        values,
+                        decoder,
                         body_deadline,
                         last_message_at,
                     });
@@ -93,25 +93,29 @@
         while !self.receive()? {
             if self.read(self.body_deadline).await? == 0 {
                 let complete = self.response.ends_with_connection();
-                return if complete { Ok(std::mem::take(self.values.end())) } else { Err(CallError::Closed) };
+                return if complete {
+                    Ok(std::mem::take(self.decoder.input()))
+                } else {
+                    Err(CallError::Closed)
+                };
             }
         }
-        Ok(std::mem::take(self.values.end()))
+        Ok(std::mem::take(self.decoder.input()))
     }
 
     /// Reads the next message of a watch: an update, or `None` for a message that nothing has changed. An update that has
     /// begun must be complete within the same time in which a watch has to send something.
-    pub async fn next_update(&mut self) -> Result<Option<Listing>, CallError> {
+    pub async fn next_update(&mut self) -> Result<Option<MembershipUpdate>, CallError> {
         loop {
             let done = self.receive()?;
-            let was_pending = self.values.begun() > 0;
-            let DiscoveryResponse { node, values, .. } = self;
-            let listing = node.meter.measure(Work::List, || values.listing()).map_err(CallError::Json)?;
-            if listing.is_some() || was_pending && self.values.begun() == 0 {
+            let was_pending = self.decoder.pending_bytes() > 0;
+            let DiscoveryResponse { node, decoder, .. } = self;
+            let update = node.meter.measure(Work::List, || decoder.next_update()).map_err(CallError::Json)?;
+            if update.is_some() || was_pending && self.decoder.pending_bytes() == 0 {
                 self.last_message_at = Instant::now();
-                return Ok(listing);
+                return Ok(update);
             }
-            if done || self.read(self.last_message_at + SILENCE).await? == 0 {
+            if done || self.read(self.last_message_at + WATCH_TIMEOUT).await? == 0 {
                 return Err(CallError::Closed);
             }
         }
@@ -120,9 +124,9 @@
     /// Moves the received part of the body into the decoder. Returns whether the body is complete.
     fn receive(&mut self) -> Result<bool, CallError> {
         let consumed =
-            self.response.read_body(self.buffer.filled(), self.values.end()).map_err(CallError::Http)?;
+            self.response.read_body(self.buffer.filled(), self.decoder.input()).map_err(CallError::Http)?;
         drop(self.buffer.consume(consumed));
-        if self.values.begun() > MAX_LIST_BYTES {
+        if self.decoder.pending_bytes() > MAX_LIST_BYTES {
             return Err(CallError::TooLong);
         }
         Ok(self.response.is_complete())
@@ -132,7 +136,7 @@
     /// its start after each read.
     async fn read(&mut self, deadline: Instant) -> Result<usize, CallError> {
         future::yield_now().await;
-        let length = self.buffer.filled().len() + MIN_READ_BYTES.max(self.values.begun());
+        let length = self.buffer.filled().len() + MIN_READ_BYTES.max(self.decoder.pending_bytes());
         let read = async { self.buffer.fill(length, &mut self.stream).await.map_err(CallError::Io) };
         let count = with_call_deadline(deadline, read).await?;
         self.node.stats.add(Counter::ListBytesReceived, count);
@@ -144,5 +148,5 @@
     deadline: Instant,
     future: impl Future<Output = Result<T, CallError>>,
 ) -> Result<T, CallError> {
-    until(deadline, future).await.unwrap_or(Err(CallError::Silent))
+    with_deadline(deadline, future).await.unwrap_or(Err(CallError::Silent))
 }
--- a/crates/driver/src/ids.rs
+++ b/crates/driver/src/ids.rs
@@ -7,7 +7,7 @@
 use beaconshore::interface::Micros;
 
 /// Longest id that is accepted, in bytes.
-pub const MAX_ID: usize = 64;
+pub const MAX_ID_BYTES: usize = 64;
 /// How long an id stays reserved after its request was answered, in microseconds: a duplicate of the request may still be in
 /// transit.
 const REUSE_DELAY: Micros = 2_000_000;
@@ -16,16 +16,16 @@
 
 /// The ids of open requests, and of requests answered recently.
 #[derive(Default)]
-pub struct Ids {
+pub struct RequestIds {
     /// All reserved ids.
     reserved: RefCell<HashSet<Rc<[u8]>>>,
     /// The ids of answered requests with the time of the answer, oldest first.
     released: RefCell<VecDeque<(Micros, Rc<[u8]>)>>,
 }
 
-impl Ids {
+impl RequestIds {
     /// Reserves an id for a request. Returns false if another request has it.
-    pub fn take(&self, id: &Rc<[u8]>, now: Micros) -> bool {
+    pub fn reserve(&self, id: &Rc<[u8]>, now: Micros) -> bool {
         let (mut reserved, mut released) = (self.reserved.borrow_mut(), self.released.borrow_mut());
         while let Some((_, oldest)) =
             released.front().filter(|(at, _)| now > at + REUSE_DELAY || released.len() > MAX_RELEASED)
@@ -58,20 +58,20 @@
 
     #[test]
     fn an_id_can_be_reused_only_after_a_delay() {
-        let (ids, id): (Ids, Rc<[u8]>) = (Ids::default(), Rc::from(&b"9b1f"[..]));
-        assert!(ids.take(&id, 0));
-        assert!(!ids.take(&id, 60_000_000), "the request with this id is open");
+        let (ids, id): (RequestIds, Rc<[u8]>) = (RequestIds::default(), Rc::from(&b"9b1f"[..]));
+        assert!(ids.reserve(&id, 0));
+        assert!(!ids.reserve(&id, 60_000_000), "the request with this id is open");
         ids.release(id.clone(), 60_000_000);
-        assert!(!ids.take(&id, 60_000_000 + REUSE_DELAY));
-        assert!(ids.take(&id, 60_000_001 + REUSE_DELAY));
+        assert!(!ids.reserve(&id, 60_000_000 + REUSE_DELAY));
+        assert!(ids.reserve(&id, 60_000_001 + REUSE_DELAY));
     }
 
     #[test]
     fn the_number_of_reserved_ids_is_bounded() {
-        let ids = Ids::default();
+        let ids = RequestIds::default();
         for number in 0..3 * MAX_RELEASED as u64 {
             let id: Rc<[u8]> = Rc::from(&number.to_be_bytes()[..]);
-            assert!(ids.take(&id, number));
+            assert!(ids.reserve(&id, number));
             ids.release(id, number);
         }
         assert!(ids.len() <= MAX_RELEASED + 2, "{}", ids.len());
--- a/crates/driver/src/lib.rs
+++ b/crates/driver/src/lib.rs
@@ -19,8 +19,8 @@
 pub mod discovery;
 pub mod http;
 pub mod ids;
-pub mod listing;
 pub mod member;
+pub mod membership;
 pub mod meter;
 pub mod peers;
 pub mod pg;
@@ -40,22 +40,22 @@
 use async_executor::{LocalExecutor, Task};
 use async_io::Async;
 use beaconshore::interface::Micros;
-use beaconshore_settings::Site;
+use beaconshore_settings::RouterSettings;
 use beaconshore_steering::Plans;
 use futures_lite::{Stream, StreamExt};
 use log::{info, warn};
 
 pub use config::Config;
-pub use control::Control;
+pub use control::ControlPlane;
 
-use budget::Budget;
+use budget::MemoryBudget;
 use clock::Clock;
 use decision::{DecisionHandle, DecisionMessage};
-use descriptors::{Descriptors, Permit, Places};
-use ids::Ids;
+use descriptors::{Descriptors, Permit, PermitPool};
+use ids::RequestIds;
 use member::SocketTransport;
 use meter::Meter;
-use skew::Skew;
+use skew::ClockSkew;
 use stall::StallDetector;
 use stats::{Counter, Stats};
 
@@ -67,40 +67,40 @@
     /// Owned by the control plane: when that is dropped, all actors end.
     executor: Weak<LocalExecutor<'static>>,
     clock: Clock,
-    site: Site,
+    settings: RouterSettings,
     descriptors: Descriptors,
-    budget: Budget,
-    ids: Ids,
-    skew: Skew,
+    memory_budget: MemoryBudget,
+    request_ids: RequestIds,
+    clock_skew: ClockSkew,
     stats: Stats,
     meter: Meter,
-    stalls: StallDetector,
+    stall_detector: StallDetector,
     /// Id of the request that was accepted last. Ids are consecutive numbers.
-    requests: Cell<u64>,
+    last_request_id: Cell<u64>,
     /// Number of lists and updates that the module has taken in. A member's actor compares it to see whether a decision was
     /// made before the latest one.
-    lists: Cell<u64>,
+    lists_applied: Cell<u64>,
 }
 
 impl Node {
     /// Waits for a permit to open or accept a connection, and counts if none is available at once.
-    async fn place(&self, places: &Places) -> Permit {
-        match places.try_take() {
+    async fn acquire_permit(&self, pool: &PermitPool) -> Permit {
+        match pool.try_acquire() {
             Some(permit) => permit,
             None => {
-                self.stats.count(Counter::Short);
-                places.take().await
+                self.stats.count(Counter::DescriptorWaits);
+                pool.acquire().await
             }
         }
     }
 
     /// Starts an actor, which runs until it returns or the driver ends.
     pub fn spawn(&self, actor: impl Future<Output = ()> + 'static) {
-        self.start(actor).into_iter().for_each(Task::detach);
+        self.spawn_cancellable(actor).into_iter().for_each(Task::detach);
     }
 
     /// Starts a task that can be cancelled; `None` while the driver is being dropped.
-    fn start(&self, task: impl Future<Output = ()> + 'static) -> Option<Task<()>> {
+    fn spawn_cancellable(&self, task: impl Future<Output = ()> + 'static) -> Option<Task<()>> {
         self.executor.upgrade().map(|executor| executor.spawn(task))
     }
 
@@ -108,16 +108,16 @@
         Node {
             executor,
             clock: Clock::start(),
-            site: config.settings.clone(),
+            settings: config.settings.clone(),
             descriptors: Descriptors::divide(config.limits.sockets),
-            budget: Budget::divide(config.limits.memory_mb),
-            ids: Ids::default(),
-            skew: Skew::default(),
+            memory_budget: MemoryBudget::divide(config.limits.memory_mb),
+            request_ids: RequestIds::default(),
+            clock_skew: ClockSkew::default(),
             stats: Stats::default(),
             meter: Meter::new(config.accounting),
-            stalls: StallDetector::default(),
-            requests: Cell::new(0),
-            lists: Cell::new(0),
+            stall_detector: StallDetector::default(),
+            last_request_id: Cell::new(0),
+            lists_applied: Cell::new(0),
         }
     }
 
@@ -158,7 +158,7 @@
         config.known.instances.len()
     );
 
-    let control = Control::start(config, Rc::new(SocketTransport), reloads)?;
+    let control = ControlPlane::start(config, Rc::new(SocketTransport), reloads)?;
     let (node, handle) = (control.node().clone(), control.module().clone());
     let (clients, emptied) = client::Clients::new(node.clone(), handle);
     node.spawn({
@@ -167,9 +167,9 @@
     });
     let serve = shutdown::serve(node.clone(), listener, clients, emptied, stop);
     async_io::block_on(control.executor().run(serve));
-    info!("counts: {}", node.stats.line());
-    info!("holds: {}", stats::holdings(&node));
-    node.meter.line().into_iter().for_each(|line| info!("spent: {line}"));
+    info!("counts: {}", node.stats.summary_line());
+    info!("holds: {}", stats::usage_line(&node));
+    node.meter.summary_line().into_iter().for_each(|line| info!("spent: {line}"));
     Ok(())
 }
 
@@ -191,7 +191,7 @@
             config.discovery = new.discovery;
             let _ = discovery_addresses.send(new.discovery).await;
         }
-        if let Some(reason) = &new.refused {
+        if let Some(reason) = &new.operator_error {
             warn!("{reason}; the one in force stays until a valid file is loaded");
         } else if new.plans.routes != config.plans.routes {
             let count = new.plans.routes.as_ref().map_or(0, |r| r.routes.len());
--- a/crates/driver/src/member/connection.rs
+++ b/crates/driver/src/member/connection.rs
@@ -15,7 +15,7 @@
 use super::send_state::{SendConditions, SendState, SendStep};
 use super::Attempt;
 use crate::buffer::Buffer;
-use crate::clock::{until, within};
+use crate::clock::{with_deadline, with_timeout};
 use crate::decision::DecisionHandle;
 use crate::descriptors::Permit;
 use crate::pg::{self, sqlstate, BackendMessage};
@@ -50,7 +50,7 @@
         Err((outcome, unused)) => return (Reply::without_answer(outcome), unused),
     };
     let mut reply = Reply::awaited();
-    match until(deadline, connection.read_reply(node, &mut reply)).await {
+    match with_deadline(deadline, connection.read_reply(node, &mut reply)).await {
         Some(ReplyEnd::Ready) => (reply, Some(connection)),
         Some(ReplyEnd::Unusable | ReplyEnd::Malformed) => (reply, None),
         None => {
@@ -75,13 +75,13 @@
         SendState::new(attempt.decided_at, attempt.list_version, attempt.deadline, idle.is_some());
     let (mut connection, mut query, mut written) = (idle, Vec::new(), 0);
     loop {
-        let (list_version, is_cancelled) = (node.lists.get(), attempt.cancel_flag.is_cancelled());
+        let (list_version, is_cancelled) = (node.lists_applied.get(), attempt.cancel_flag.is_cancelled());
         let conditions = SendConditions { now: node.clock.now(), list_version, is_cancelled };
         let step = send_state.next_step(conditions);
         match (step, &mut connection) {
             (SendStep::GiveUp, _) => return Err((Outcome::NeverSent, connection.filter(|_| written == 0))),
             (SendStep::Connect, _) | (SendStep::Write, None) => {
-                match until(deadline, connect(node, address)).await {
+                match with_deadline(deadline, connect(node, address)).await {
                     Some(Ok(connected)) => {
                         connection = Some(connected);
                         send_state.on_connected();
@@ -109,7 +109,7 @@
                     Ok(count) => written += count,
                     Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
                         send_state.on_blocked();
-                        match until(deadline, connected.stream.writable()).await {
+                        match with_deadline(deadline, connected.stream.writable()).await {
                             Some(Ok(())) => {}
                             Some(Err(_)) => return Err((Outcome::Unreachable, None)),
                             None => return Err((Outcome::NeverSent, None)),
@@ -132,15 +132,15 @@
     address: SocketAddr,
     idle: Option<Connection>,
 ) -> (Outcome, Report, Option<Connection>) {
-    let dialect = &node.site.dialect;
-    let limit = Duration::from_micros(dialect.connect_timeout);
+    let protocol = &node.settings.protocol;
+    let limit = Duration::from_micros(protocol.connect_timeout);
     let probe = async {
         let mut connection = match idle {
             Some(connection) => connection,
             None => connect(node, address).await?,
         };
         let mut query = Vec::new();
-        let has_report = !dialect.report.is_empty();
+        let has_report = !protocol.report_fields.is_empty();
         pg::put_query(&mut query, &[if has_report { LOAD_REPORT_QUERY } else { LIVENESS_QUERY }]);
         connection.stream.write_all(&query).await.map_err(|_| Outcome::Unreachable)?;
         let mut reply = Reply::awaited();
@@ -153,7 +153,7 @@
         let outcome = if end == ReplyEnd::Malformed { Outcome::Served } else { reply.outcome };
         Ok((outcome, self_report.to_report(), (end == ReplyEnd::Ready).then_some(connection)))
     };
-    match within(limit, probe).await {
+    match with_timeout(limit, probe).await {
         Some(Ok(end)) => end,
         Some(Err(outcome)) => (outcome, Report::default(), None),
         None => (Outcome::TimedOut, Report::default(), None),
@@ -163,10 +163,10 @@
 /// Opens a connection to a member and reads its startup response. Otherwise returns the outcome.
 async fn connect(node: &Node, address: SocketAddr) -> Result<Connection, Outcome> {
     // The wait for a free descriptor is not held against the member.
-    let permit = node.place(&node.descriptors.members).await;
-    let limit = Duration::from_micros(node.site.dialect.connect_timeout);
+    let permit = node.acquire_permit(&node.descriptors.members).await;
+    let limit = Duration::from_micros(node.settings.protocol.connect_timeout);
     let connecting = async {
-        node.stats.count(Counter::Connects);
+        node.stats.count(Counter::MemberConnects);
         let stream = Async::<TcpStream>::connect(address).await.map_err(|_| Outcome::Unreachable)?;
         let _ = stream.get_ref().set_nodelay(true);
         let mut connection = Connection { stream, buffer: Buffer::default(), address, _permit: permit };
@@ -175,7 +175,7 @@
         connection.stream.write_all(&startup).await.map_err(|_| Outcome::Unreachable)?;
         connection.read_startup_response().await.map(|()| connection)
     };
-    within(limit, connecting).await.unwrap_or(Err(Outcome::Unreachable))
+    with_timeout(limit, connecting).await.unwrap_or(Err(Outcome::Unreachable))
 }
 
 impl Connection {
@@ -232,13 +232,13 @@
             // Yields, so that a member that sends without pause does not hold up the other actors.
             future::yield_now().await;
             let length = pg::message_length(self.buffer.filled());
-            if self.buffer.lacks_room(length) {
-                self.buffer.grant(node.budget.answers.acquire_arc().await);
+            if self.buffer.needs_permit(length) {
+                self.buffer.grant(node.memory_budget.answers.acquire_arc().await);
             }
             let read_timeout = reply.read_timeout(!self.buffer.filled().is_empty());
             let read = self.read_some(length);
             let count = match read_timeout {
-                Some(read_timeout) => match within(read_timeout, read).await {
+                Some(read_timeout) => match with_timeout(read_timeout, read).await {
                     Some(count) => count,
                     None => return reply.abort(),
                 },
--- a/crates/driver/src/member/mod.rs
+++ b/crates/driver/src/member/mod.rs
@@ -18,10 +18,10 @@
 use beaconshore::interface::{MemberId, Micros, Outcome, Report, RequestId};
 
 use crate::client::{CancelFlag, MemberAnswer};
-use crate::clock::until;
+use crate::clock::with_deadline;
 use crate::control::MemberTransport;
 use crate::decision::{DecisionHandle, DecisionMessage, Statement};
-use crate::descriptors::{Rank, Rest};
+use crate::descriptors::{IdleRank, IdleRegistration};
 use crate::stats::Counter;
 use crate::Node;
 
@@ -87,7 +87,7 @@
 struct IdleConnection {
     connection: Connection,
     since: Instant,
-    _idle_registration: Rest,
+    _idle_registration: IdleRegistration,
 }
 
 /// Reaches members over TCP.
@@ -149,12 +149,12 @@
     async fn run(mut self) {
         loop {
             // Idle connections are closed a tenth earlier than the member may close them.
-            let reuse_limit = Duration::from_micros(self.node.site.dialect.conn_idle).mul_f64(0.9);
+            let reuse_limit = Duration::from_micros(self.node.settings.protocol.idle_timeout).mul_f64(0.9);
             while self.idle_connections.front().is_some_and(|idle| idle.since.elapsed() >= reuse_limit) {
                 self.idle_connections.pop_front();
             }
             let message = match self.idle_connections.front() {
-                Some(idle) => until(idle.since + reuse_limit, self.mailbox.recv()).await,
+                Some(idle) => with_deadline(idle.since + reuse_limit, self.mailbox.recv()).await,
                 None => Some(self.mailbox.recv().await),
             };
             match message {
@@ -170,7 +170,7 @@
                 Some(Ok(MemberMessage::CloseIdle)) => self.idle_connections.clear(),
                 Some(Ok(MemberMessage::CloseLongestIdle)) => match self.idle_connections.pop_front() {
                     Some(oldest) => drop(oldest),
-                    None => self.node.descriptors.members.asked_in_vain(),
+                    None => self.node.descriptors.members.on_close_declined(),
                 },
                 Some(Ok(MemberMessage::AttemptEnded(end, connection))) => {
                     self.running_attempts.remove(&end.request);
@@ -190,7 +190,7 @@
         self.node.stats.count(Counter::Attempts);
         let (node, id, address, sender) = (self.node.clone(), self.id, self.address, self.sender.clone());
         let (decision, idle, request) = (self.decision.clone(), self.take_idle(), attempt.request);
-        let task = self.node.start(async move {
+        let task = self.node.spawn_cancellable(async move {
             let (reply, connection) = run_attempt(&node, &decision, id, address, idle, &attempt).await;
             let duration = node.clock.now().saturating_sub(attempt.decided_at);
             let Reply { outcome, answer, self_report, .. } = reply;
@@ -199,7 +199,7 @@
         });
         let Some(task) = task else { return };
         let earlier = self.running_attempts.insert(request, task);
-        self.node.stats.check(earlier.is_none(), "a request has at most one attempt in flight");
+        self.node.stats.check_invariant(earlier.is_none(), "a request has at most one attempt in flight");
     }
 
     /// Ends an attempt by closing its connection, unless it has just ended by itself.
@@ -234,7 +234,7 @@
     fn take_idle(&mut self) -> Option<Connection> {
         while let Some(idle) = self.idle_connections.pop_back() {
             if idle.connection.is_open_and_silent() {
-                self.node.stats.count(Counter::Reused);
+                self.node.stats.count(Counter::MemberConnectionsReused);
                 return Some(idle.connection);
             }
         }
@@ -249,7 +249,7 @@
         let Some(connection) = connection.filter(is_reusable) else { return };
         let sender = self.sender.clone();
         let close = move || drop(sender.try_send(MemberMessage::CloseLongestIdle));
-        let registration = self.node.descriptors.members.rest(Rank::Used, close);
+        let registration = self.node.descriptors.members.register_idle(IdleRank::BetweenRequests, close);
         self.idle_connections.push_back(IdleConnection {
             connection,
             since: Instant::now(),
--- a/crates/driver/src/member/self_report.rs
+++ b/crates/driver/src/member/self_report.rs
@@ -5,7 +5,7 @@
 use beaconshore::interface::{Micros, ReplyStatus, Report, Role};
 use beaconshore_settings::ReportField;
 
-use crate::listing::{FOLLOWER, LEADER};
+use crate::membership::{FOLLOWER, LEADER};
 use crate::pg;
 
 /// What a member reported of itself.
@@ -46,7 +46,7 @@
     for pair in text.split(',') {
         let (name, value) =
             pair.split_once('=').filter(|(name, value)| !name.is_empty() && !value.is_empty())?;
-        let field = ReportField::named(name.trim());
+        let field = ReportField::from_name(name.trim());
         if field == ReportField::Other {
             continue;
         }
--- a/crates/driver/src/listing.rs
+++ b/crates/driver/src/membership.rs
@@ -5,22 +5,22 @@
 use log::warn;
 use serde::{Deserialize, Deserializer};
 
-/// A full membership list, or the changes since an earlier version.
+/// An update of the membership list: the full list, or the changes since an earlier version.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Listing {
+pub struct MembershipUpdate {
     /// Version of the list.
     pub generation: u64,
     /// Whether this is the full list.
     pub reset: bool,
     /// The entries. One that cannot be parsed is logged and skipped; the others are used.
     #[serde(deserialize_with = "parseable_entries")]
-    pub instances: Vec<Instance>,
+    pub instances: Vec<MemberEntry>,
 }
 
 /// An entry of the membership list: one member.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct Instance {
+pub struct MemberEntry {
     /// Name of the member, the same for all drivers and across restarts and changes of address.
     pub instance_id: String,
     /// Address at which it listens.
@@ -58,7 +58,7 @@
 pub const FOLLOWER: &str = "follower";
 
 /// Deserializes the entries that can be parsed.
-fn parseable_entries<'de, D: Deserializer<'de>>(list: D) -> Result<Vec<Instance>, D::Error> {
+fn parseable_entries<'de, D: Deserializer<'de>>(list: D) -> Result<Vec<MemberEntry>, D::Error> {
     let entries = Vec::<serde_json::Value>::deserialize(list)?;
     let parse = |entry| {
         serde_json::from_value(entry)
--- a/crates/driver/src/meter.rs
+++ b/crates/driver/src/meter.rs
@@ -54,7 +54,7 @@
     }
 
     /// The processor time of the whole process and all sums in one line; `None` if nothing is measured.
-    pub fn line(&self) -> Option<String> {
+    pub fn summary_line(&self) -> Option<String> {
         let mut line = format!("process_ns={}", nanoseconds(ClockId::ProcessCPUTime));
         for (name, spent) in NAMES.iter().zip(&self.spent) {
             let _ = write!(line, " {name}_ns={}", spent.get());
--- a/crates/driver/src/peers/message.rs
+++ b/crates/driver/src/peers/message.rs
@@ -15,7 +15,7 @@
 use beaconshore_gossip::{Digest, MemberState, MemberTag, BUCKETS};
 
 /// Longest datagram, in bytes.
-pub const MAX_DATAGRAM: usize = 256;
+pub const MAX_DATAGRAM_BYTES: usize = 256;
 /// Version byte of a datagram with member states.
 const STATES_VERSION: u8 = 1;
 /// Version byte of a datagram with loans.
@@ -44,7 +44,7 @@
 
 /// A message to send, with its destination.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Outgoing {
+pub struct OutgoingMessage {
     /// Number of the driver that it is for; `None` for all other drivers.
     pub to: Option<u32>,
     /// The message.
@@ -63,7 +63,7 @@
 
     /// Decodes a datagram; `None` if any part of it is malformed.
     pub fn decode(bytes: &[u8]) -> Option<PeerMessage> {
-        if bytes.len() > MAX_DATAGRAM {
+        if bytes.len() > MAX_DATAGRAM_BYTES {
             return None;
         }
         let (&version, rest) = bytes.split_first()?;
@@ -77,7 +77,7 @@
 }
 
 /// The tag by which drivers refer to a member: the 32-bit FNV-1a hash of its name.
-pub fn tag(name: &str) -> MemberTag {
+pub fn member_tag(name: &str) -> MemberTag {
     let hash = |hash: u32, b: u8| (hash ^ u32::from(b)).wrapping_mul(0x0100_0193);
     MemberTag(name.bytes().fold(0x811c_9dc5, hash))
 }
@@ -114,7 +114,7 @@
     // A position that precedes the newest by more than its field can express is of no use to others, and is left out.
     let fits = |s: &&MemberState| base - s.position / 1000 <= u64::from(u32::MAX >> 2);
     let states: Vec<MemberState> = states.iter().filter(fits).copied().collect();
-    states.chunks((MAX_DATAGRAM - HEADER_BYTES) / STATE_BYTES).map(datagram).collect()
+    states.chunks((MAX_DATAGRAM_BYTES - HEADER_BYTES) / STATE_BYTES).map(datagram).collect()
 }
 
 fn decode_states(rest: &[u8]) -> Option<Vec<MemberState>> {
@@ -155,7 +155,7 @@
     // A loan to a driver whose number does not fit its field would decode as a request, so it is left out.
     let fits = |l: &&SpillLoan| l.to.is_none_or(|to| to < u32::from(ALL_DRIVERS));
     let loans: Vec<SpillLoan> = loans.iter().filter(fits).cloned().collect();
-    loans.chunks((MAX_DATAGRAM - HEADER_BYTES) / LOAN_BYTES).map(datagram).collect()
+    loans.chunks((MAX_DATAGRAM_BYTES - HEADER_BYTES) / LOAN_BYTES).map(datagram).collect()
 }
 
 fn decode_loans(rest: &[u8]) -> Option<Vec<SpillLoan>> {
--- a/crates/driver/src/peers/mod.rs
+++ b/crates/driver/src/peers/mod.rs
@@ -23,8 +23,8 @@
 use crate::Node;
 
 pub use beaconshore_gossip::{MemberState, MemberTag};
-use message::MAX_DATAGRAM;
-pub use message::{tag, Outgoing, PeerMessage};
+use message::MAX_DATAGRAM_BYTES;
+pub use message::{member_tag, OutgoingMessage, PeerMessage};
 
 /// Number of messages that may wait to be sent. Further ones are dropped, which is allowed since datagrams may be lost
 /// anyway.
@@ -52,12 +52,12 @@
     /// One address that reaches all drivers, if there is one.
     broadcast: Option<SocketAddr>,
     gossip: Option<RefCell<Gossip>>,
-    sender: Sender<Outgoing>,
-    mailbox: Receiver<Outgoing>,
+    sender: Sender<OutgoingMessage>,
+    mailbox: Receiver<OutgoingMessage>,
 }
 
 /// Creates the actor. It does nothing until [`Peers::run`].
-pub fn start(node: &Rc<Node>, socket: Async<UdpSocket>, config: &Config) -> Peers {
+pub fn create(node: &Rc<Node>, socket: Async<UdpSocket>, config: &Config) -> Peers {
     let (sender, mailbox) = async_channel::bounded(MAILBOX_CAPACITY);
     let own_address = config.peer_listen;
     let addresses = config.peers.clone();
@@ -82,7 +82,7 @@
 
 impl Peers {
     /// The sender for messages that the actor is to send.
-    pub fn mailbox(&self) -> Sender<Outgoing> {
+    pub fn mailbox(&self) -> Sender<OutgoingMessage> {
         self.sender.clone()
     }
 
@@ -114,7 +114,7 @@
         for datagram in self.node.meter.measure(Work::PeerMessages, || message.encode()) {
             self.node
                 .stats
-                .check(datagram.len() <= MAX_DATAGRAM, "a datagram is no longer than MAX_DATAGRAM");
+                .check_invariant(datagram.len() <= MAX_DATAGRAM_BYTES, "a datagram is within its size limit");
             for &peer in one.map_or(all, std::slice::from_ref) {
                 self.send_datagram(&datagram, peer).await;
             }
@@ -122,7 +122,7 @@
     }
 
     async fn send_datagram(&self, datagram: &[u8], to: SocketAddr) {
-        self.node.stats.count(Counter::Told);
+        self.node.stats.count(Counter::DatagramsSent);
         self.node.stats.add(Counter::PeerBytesSent, datagram.len());
         let sent =
             self.node.meter.measure(Work::PeerMessages, || self.socket.get_ref().send_to(datagram, to));
@@ -152,7 +152,7 @@
 
     /// Reads all received datagrams, then pauses for [`READ_PAUSE`], over and over.
     async fn receive(&self, module: DecisionHandle) {
-        let mut bytes = [0; MAX_DATAGRAM + 1];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             // An error here concerns an earlier datagram that could not be delivered.
             let Ok((length, from)) = self.socket.recv_from(&mut bytes).await else {
@@ -185,7 +185,11 @@
             let number = self.numbers.get(&from)?;
             self.accept(*number, PeerMessage::decode(bytes)?, module)
         });
-        self.node.stats.count(if accepted.is_some() { Counter::Heard } else { Counter::Dropped });
+        self.node.stats.count(if accepted.is_some() {
+            Counter::DatagramsReceived
+        } else {
+            Counter::DatagramsDropped
+        });
     }
 
     /// Passes a message to the gossip or to the module's actor; `None` if it is dropped.
--- a/crates/driver/src/pg.rs
+++ b/crates/driver/src/pg.rs
@@ -6,7 +6,7 @@
 use std::fmt;
 use std::ops::Range;
 
-use crate::ids::MAX_ID;
+use crate::ids::MAX_ID_BYTES;
 
 /// Longest value in bytes, as the store limits it.
 const MAX_VALUE_BYTES: usize = 64 * 1024;
@@ -512,7 +512,7 @@
     }
     let (wait, wait_range) = wait.ok_or(MISSING_VALUE)?;
     let id = id.ok_or(MISSING_VALUE)?;
-    if !(1..=MAX_ID).contains(&id.len()) || key.is_some_and(str::is_empty) {
+    if !(1..=MAX_ID_BYTES).contains(&id.len()) || key.is_some_and(str::is_empty) {
         return Err(BAD_VALUE);
     }
     Ok(ParsedRequest {
--- a/crates/driver/src/shutdown/mod.rs
+++ b/crates/driver/src/shutdown/mod.rs
@@ -1,8 +1,8 @@
 //! Accepts clients until the driver is told to stop, then shuts it down gracefully.
 //!
-//! Owns the listener. The steps of the shutdown and their times are decided by [`course`], without I/O.
+//! Owns the listener. The steps of the shutdown and their times are decided by [`sequence`], without I/O.
 
-pub mod course;
+pub mod sequence;
 
 use std::future::Future;
 use std::net::TcpListener;
@@ -16,17 +16,17 @@
 use log::{info, warn};
 
 use crate::client::Clients;
-use crate::clock::until;
+use crate::clock::with_deadline;
 use crate::descriptors::Permit;
 use crate::Node;
 
-use course::{Course, Step, LAST_ANSWERS};
+use sequence::{ShutdownSequence, Step, FINAL_ANSWERS_TIME};
 
 /// Pause after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// How long queued connections may wait for a descriptor during the shutdown. Idle connections have just been asked to
 /// close, so descriptors become free.
-const FINAL_ACCEPT_TIME: Duration = LAST_ANSWERS.saturating_sub(Duration::from_millis(200));
+const FINAL_ACCEPT_TIME: Duration = FINAL_ANSWERS_TIME.saturating_sub(Duration::from_millis(200));
 
 /// What ends a wait of the accept loop.
 enum Wake {
@@ -43,15 +43,15 @@
     emptied: Receiver<()>,
     stop: impl Future<Output = ()>,
 ) {
-    let max_deadline = node.site.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
-    let mut shutdown = Course::new(Duration::from_micros(max_deadline), Instant::now());
+    let max_deadline = node.settings.module.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
+    let mut shutdown = ShutdownSequence::new(Duration::from_micros(max_deadline), Instant::now());
     let (mut stop, mut stop_received, mut listener) = (pin!(stop), false, Some(listener));
     let mut accept_failed = false;
     loop {
-        shutdown.connections(clients.count(), Instant::now());
-        match shutdown.step(Instant::now()) {
+        shutdown.set_connections(clients.count(), Instant::now());
+        match shutdown.next_step(Instant::now()) {
             None => {}
-            Some(Step::Leave(left)) => {
+            Some(Step::Drain(left)) => {
                 info!("stopping: idle connections are closed, open requests are answered");
                 clients.start_shutdown(left);
                 continue;
@@ -63,7 +63,7 @@
                 }
                 continue;
             }
-            Some(Step::End) => {
+            Some(Step::Exit) => {
                 info!("stopped: shutdown complete");
                 return;
             }
@@ -95,7 +95,7 @@
         match future::or(signal, future::or(time, future::or(empty, accepted))).await {
             Wake::Signal => {
                 stop_received = true;
-                shutdown.signal(Instant::now());
+                shutdown.on_stop_signal(Instant::now());
             }
             Wake::Accepted(Some((stream, permit))) => clients.accept(stream, permit),
             Wake::Accepted(None) | Wake::Time => {}
@@ -109,7 +109,7 @@
     listener: &Async<TcpListener>,
     accept_failed: &mut bool,
 ) -> Option<(Async<std::net::TcpStream>, Permit)> {
-    let permit = node.place(&node.descriptors.clients).await;
+    let permit = node.acquire_permit(&node.descriptors.clients).await;
     match listener.accept().await {
         Ok((stream, _)) => {
             *accept_failed = false;
@@ -129,7 +129,7 @@
 /// reset without an answer, and one that connects later is refused and can use another router.
 async fn accept_queued(node: &Node, listener: Async<TcpListener>, clients: &Rc<Clients>) {
     let deadline = Instant::now() + FINAL_ACCEPT_TIME;
-    while let Some(permit) = until(deadline, node.place(&node.descriptors.clients)).await {
+    while let Some(permit) = with_deadline(deadline, node.acquire_permit(&node.descriptors.clients)).await {
         match future::poll_once(listener.accept()).await {
             Some(Ok((stream, _))) => clients.accept(stream, permit),
             Some(Err(_)) | None => return,
--- a/crates/driver/src/shutdown/course.rs
+++ b/crates/driver/src/shutdown/sequence.rs
@@ -7,27 +7,27 @@
 
 /// Shortest time between the signal and the closing of the listener: clients that have not yet noticed the shutdown
 /// keep connecting, and are accepted.
-pub const TURNING: Duration = Duration::from_millis(500);
+pub const ACCEPT_AFTER_SIGNAL: Duration = Duration::from_millis(500);
 /// Once no connection has been open for this long, the driver shuts down without using the rest of its time.
-pub const QUIET: Duration = Duration::from_millis(200);
+pub const QUIET_PERIOD: Duration = Duration::from_millis(200);
 /// Upper bound on the longest request's time that a shutdown allows for.
 const MAX_REQUEST_TIME: Duration = Duration::from_secs(3);
-/// Time that a shutdown may take in addition to the longest request's time. It includes [`LAST_ANSWERS`].
+/// Time that a shutdown may take in addition to the longest request's time. It includes [`FINAL_ANSWERS_TIME`].
 const SHUTDOWN_MARGIN: Duration = Duration::from_millis(700);
 /// Time reserved for the final answers after [`Step::Close`]. The driver exits after two thirds of it; the last third
 /// is a reserve.
-pub const LAST_ANSWERS: Duration = Duration::from_millis(300);
+pub const FINAL_ANSWERS_TIME: Duration = Duration::from_millis(300);
 
 /// A step of the shutdown, carried out by the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Close connections as they become idle. Requests accepted from now on have to be answered within this time.
-    Leave(Duration),
+    Drain(Duration),
     /// Accept the connections that are still queued, close the listener, answer all open requests and end every
     /// connection.
     Close,
     /// Exit the program.
-    End,
+    Exit,
 }
 
 /// Progress of the shutdown.
@@ -45,7 +45,7 @@
 
 /// Progress of one driver from serving to its exit.
 #[derive(Debug)]
-pub struct Course {
+pub struct ShutdownSequence {
     stage: Stage,
     /// Longest time that a request may take, at most [`MAX_REQUEST_TIME`].
     max_request_time: Duration,
@@ -56,11 +56,11 @@
     empty_since: Option<Instant>,
 }
 
-impl Course {
+impl ShutdownSequence {
     /// Creates the state of a driver that serves requests of at most this duration.
     pub fn new(max_request_time: Duration, now: Instant) -> Self {
         let max_request_time = max_request_time.min(MAX_REQUEST_TIME);
-        Course {
+        ShutdownSequence {
             stage: Stage::Serving,
             max_request_time,
             signalled_at: now,
@@ -70,7 +70,7 @@
     }
 
     /// Records the stop signal. Further signals have no effect.
-    pub fn signal(&mut self, now: Instant) {
+    pub fn on_stop_signal(&mut self, now: Instant) {
         if self.stage == Stage::Serving {
             (self.stage, self.signalled_at) = (Stage::Signalled, now);
             self.empty_since = self.empty_since.map(|_| now);
@@ -78,7 +78,7 @@
     }
 
     /// Records the number of open connections.
-    pub fn connections(&mut self, count: usize, now: Instant) {
+    pub fn set_connections(&mut self, count: usize, now: Instant) {
         self.empty_since = if count == 0 { self.empty_since.or(Some(now)) } else { None };
     }
 
@@ -89,12 +89,12 @@
 
     /// When the next step is due if nothing changes; `None` while serving and after the last step.
     pub fn due(&self) -> Option<Instant> {
-        let quiet = self.empty_since.map(|since| since + QUIET);
+        let quiet = self.empty_since.map(|since| since + QUIET_PERIOD);
         match self.stage {
             Stage::Signalled => Some(self.signalled_at),
             Stage::Serving | Stage::Ended => None,
             Stage::Draining => {
-                let quiet = quiet.map(|at| at.max(self.signalled_at + TURNING));
+                let quiet = quiet.map(|at| at.max(self.signalled_at + ACCEPT_AFTER_SIGNAL));
                 Some(quiet.unwrap_or(self.close_deadline()).min(self.close_deadline()))
             }
             // Without connections nothing more can arrive, so the exit is due at once.
@@ -105,14 +105,14 @@
     }
 
     /// Takes and returns the next step, if it is due.
-    pub fn step(&mut self, now: Instant) -> Option<Step> {
+    pub fn next_step(&mut self, now: Instant) -> Option<Step> {
         if self.due().is_none_or(|due| now < due) {
             return None;
         }
         match self.stage {
             Stage::Signalled => {
                 self.stage = Stage::Draining;
-                Some(Step::Leave(self.close_deadline().saturating_duration_since(now)))
+                Some(Step::Drain(self.close_deadline().saturating_duration_since(now)))
             }
             Stage::Draining => {
                 (self.stage, self.closed_at) = (Stage::Closing, now);
@@ -120,7 +120,7 @@
             }
             Stage::Closing => {
                 self.stage = Stage::Ended;
-                Some(Step::End)
+                Some(Step::Exit)
             }
             Stage::Serving | Stage::Ended => None,
         }
@@ -128,11 +128,11 @@
 
     /// Latest time of [`Step::Close`], even if clients still send requests.
     fn close_deadline(&self) -> Instant {
-        self.signalled_at + self.max_request_time + SHUTDOWN_MARGIN - LAST_ANSWERS
+        self.signalled_at + self.max_request_time + SHUTDOWN_MARGIN - FINAL_ANSWERS_TIME
     }
 
-    /// Latest time of [`Step::End`], even if an incomplete request or an unread answer is left.
+    /// Latest time of [`Step::Exit`], even if an incomplete request or an unread answer is left.
     fn exit_deadline(&self) -> Instant {
-        self.closed_at + LAST_ANSWERS * 2 / 3
+        self.closed_at + FINAL_ANSWERS_TIME * 2 / 3
     }
 }
--- a/crates/driver/src/signals.rs
+++ b/crates/driver/src/signals.rs
@@ -31,7 +31,7 @@
         let log_error = |message: &String| {
             warn!("the configuration stays as it was, correct the file and send SIGHUP again: {message}")
         };
-        Config::reread().inspect_err(log_error).ok()
+        Config::reload().inspect_err(log_error).ok()
     })
 }
 
--- a/crates/driver/src/skew.rs
+++ b/crates/driver/src/skew.rs
@@ -20,17 +20,17 @@
 
 /// The estimated difference of the clocks. It is positive if this machine's clock is ahead of the members' clocks.
 #[derive(Debug, Default)]
-pub struct Skew {
+pub struct ClockSkew {
     /// The least samples so far in ascending order, in microseconds; as many as have to agree.
     least_samples: Cell<Option<[i64; REQUIRED_SAMPLES]>>,
     /// The accepted difference, in microseconds.
     difference: Cell<i64>,
 }
 
-impl Skew {
+impl ClockSkew {
     /// Adds a sample: a primary sent the time `sent` of its clock, which arrived at `now`. Returns whether the difference
     /// changed.
-    pub fn sample(&self, sent: Micros, now: Micros) -> bool {
+    pub fn add_sample(&self, sent: Micros, now: Micros) -> bool {
         let Some(diff) = now.checked_signed_diff(sent).filter(|d| d.abs() <= MAX_DIFF) else { return false };
         let mut least_samples = self.least_samples.get().unwrap_or([i64::MAX; REQUIRED_SAMPLES]);
         if diff >= least_samples[REQUIRED_SAMPLES - 1] {
@@ -47,13 +47,13 @@
     }
 
     /// Converts a time of the members' clocks to this machine's clock.
-    pub fn ours(&self, theirs: Micros) -> Micros {
-        theirs.saturating_add_signed(self.difference.get())
+    pub fn to_local(&self, member_time: Micros) -> Micros {
+        member_time.saturating_add_signed(self.difference.get())
     }
 
     /// Converts a time of this machine's clock to the members' clocks.
-    pub fn theirs(&self, ours: Micros) -> Micros {
-        ours.saturating_add_signed(-self.difference.get())
+    pub fn to_members(&self, local_time: Micros) -> Micros {
+        local_time.saturating_add_signed(-self.difference.get())
     }
 
     /// The difference in microseconds; positive if this machine's clock is ahead.
@@ -70,23 +70,23 @@
 
     #[test]
     fn transfer_times_alone_give_no_difference() {
-        let skew = Skew::default();
+        let skew = ClockSkew::default();
         for transfer in [900, 300, 40_000, 150, 2_000, 700] {
-            skew.sample(T, T + transfer);
+            skew.add_sample(T, T + transfer);
         }
-        assert_eq!((skew.difference(), skew.ours(T), skew.theirs(T)), (0, T, T));
+        assert_eq!((skew.difference(), skew.to_local(T), skew.to_members(T)), (0, T, T));
     }
 
     #[test]
     fn a_wrong_clock_is_detected_from_a_few_samples_that_agree() {
         for offset in [5_800_000, 80_000, -150_000] {
-            let skew = Skew::default();
-            let add_sample = |transfer: i64| skew.sample(T, T.saturating_add_signed(offset + transfer));
+            let skew = ClockSkew::default();
+            let add_sample = |transfer: i64| skew.add_sample(T, T.saturating_add_signed(offset + transfer));
             assert!(!add_sample(300) && !add_sample(700_000), "two samples that do not agree have no effect");
             assert!(!add_sample(900) && add_sample(600), "three samples that agree do");
             assert!((offset..offset + 1_000).contains(&skew.difference()), "{offset}: {}", skew.difference());
-            assert!(skew.ours(T).abs_diff(T.saturating_add_signed(offset)) < 1_000);
-            assert_eq!(skew.theirs(skew.ours(T)), T);
+            assert!(skew.to_local(T).abs_diff(T.saturating_add_signed(offset)) < 1_000);
+            assert_eq!(skew.to_members(skew.to_local(T)), T);
             add_sample(2_000_000);
             assert!((offset..offset + 1_000).contains(&skew.difference()), "a slow answer changes nothing");
         }
@@ -94,15 +94,15 @@
 
     #[test]
     fn samples_that_deviate_alone_are_ignored() {
-        let skew = Skew::default();
+        let skew = ClockSkew::default();
         for _ in 0..3 {
-            skew.sample(T, T + 400);
+            skew.add_sample(T, T + 400);
         }
-        skew.sample(T + 9_000_000, T);
-        skew.sample(T + 5_000_000, T);
+        skew.add_sample(T + 9_000_000, T);
+        skew.add_sample(T + 5_000_000, T);
         assert_eq!(skew.difference(), 0);
-        skew.sample(0, T);
-        skew.sample(Micros::MAX, T);
+        skew.add_sample(0, T);
+        skew.add_sample(Micros::MAX, T);
         assert_eq!(skew.difference(), 0);
     }
 }
--- a/crates/driver/src/stall.rs
+++ b/crates/driver/src/stall.rs
@@ -23,12 +23,12 @@
 
 impl StallDetector {
     /// Records that the timer was set.
-    pub fn expect(&self, now: Micros, due: Micros) {
+    pub fn on_timer_set(&self, now: Micros, due: Micros) {
         self.timer.set(Some((now, due)));
     }
 
     /// Records that the timer fired. Returns whether the process was stalled until then.
-    pub fn beat(&self, now: Micros) -> bool {
+    pub fn on_timer_fired(&self, now: Micros) -> bool {
         let overdue_since = self.overdue_since(now);
         self.timer.set(None);
         overdue_since.into_iter().for_each(|since| self.last_stall.set(Some((since, now))));
@@ -37,7 +37,7 @@
 
     /// Earliest time at which input that is read now can have arrived. This is `now`, unless the input may have waited
     /// through a stall.
-    pub fn came(&self, now: Micros) -> Micros {
+    pub fn earliest_arrival(&self, now: Micros) -> Micros {
         let recent_stall = self.last_stall.get().filter(|(_, until)| now <= until + CATCH_UP_TIME);
         self.overdue_since(now).or(recent_stall.map(|(since, _)| since)).unwrap_or(now)
     }
@@ -54,23 +54,23 @@
 
     #[test]
     fn input_read_while_the_timer_is_on_time_counts_as_just_arrived() {
-        let stalls = StallDetector::default();
-        assert_eq!(stalls.came(5), 5);
-        stalls.expect(990_000, 1_000_000);
-        assert_eq!(stalls.came(1_000_000 + MAX_TIMER_DELAY), 1_000_000 + MAX_TIMER_DELAY);
-        assert!(!stalls.beat(1_000_000 + MAX_TIMER_DELAY));
-        stalls.expect(1_000_000 + MAX_TIMER_DELAY, 1_010_000 + MAX_TIMER_DELAY);
-        assert_eq!(stalls.came(1_000_000 + MAX_TIMER_DELAY), 1_000_000 + MAX_TIMER_DELAY);
+        let detector = StallDetector::default();
+        assert_eq!(detector.earliest_arrival(5), 5);
+        detector.on_timer_set(990_000, 1_000_000);
+        assert_eq!(detector.earliest_arrival(1_000_000 + MAX_TIMER_DELAY), 1_000_000 + MAX_TIMER_DELAY);
+        assert!(!detector.on_timer_fired(1_000_000 + MAX_TIMER_DELAY));
+        detector.on_timer_set(1_000_000 + MAX_TIMER_DELAY, 1_010_000 + MAX_TIMER_DELAY);
+        assert_eq!(detector.earliest_arrival(1_000_000 + MAX_TIMER_DELAY), 1_000_000 + MAX_TIMER_DELAY);
     }
 
     #[test]
     fn input_read_after_a_stall_may_have_arrived_since_its_start() {
-        let stalls = StallDetector::default();
-        stalls.expect(990_000, 1_000_000);
-        assert_eq!(stalls.came(1_700_000), 990_000, "read before the timer fires");
-        assert!(stalls.beat(1_700_100));
-        stalls.expect(1_700_100, 1_710_100);
-        assert_eq!(stalls.came(1_700_200), 990_000, "read right after the timer fired");
-        assert_eq!(stalls.came(1_706_000), 1_706_000, "input read later has just arrived");
+        let detector = StallDetector::default();
+        detector.on_timer_set(990_000, 1_000_000);
+        assert_eq!(detector.earliest_arrival(1_700_000), 990_000, "read before the timer fires");
+        assert!(detector.on_timer_fired(1_700_100));
+        detector.on_timer_set(1_700_100, 1_710_100);
+        assert_eq!(detector.earliest_arrival(1_700_200), 990_000, "read right after the timer fired");
+        assert_eq!(detector.earliest_arrival(1_706_000), 1_706_000, "input read later has just arrived");
     }
 }
--- a/crates/driver/src/stats.rs
+++ b/crates/driver/src/stats.rs
@@ -27,7 +27,7 @@
 
 counters!(
     /// Connections of clients that were accepted.
-    Accepted = "accepted",
+    ConnectionsAccepted = "accepted",
     /// Requests accepted from clients.
     Requests = "requests",
     /// Requests answered with a member's result.
@@ -37,27 +37,27 @@
     /// Requests answered with a failure.
     Failed = "failed",
     /// Requests whose client disconnected or cancelled before the answer.
-    HungUp = "hung_up",
+    RequestsAbandoned = "hung_up",
     /// Statements that are not valid requests.
     BadRequests = "bad_requests",
     /// Client connections closed because of a violation of the protocol.
-    BadStreams = "bad_streams",
+    ProtocolViolations = "bad_streams",
     /// Client connections rejected because the limit on descriptors was reached.
-    NoRoom = "no_room",
+    ConnectionsRejected = "no_room",
     /// Client connections that the shutdown of the driver ended in the middle of a message or before their first one.
-    CutShort = "cut_short",
+    ConnectionsCutByShutdown = "cut_short",
     /// Client connections that ended before any answer was sent on them.
-    Unanswered = "unanswered",
+    ConnectionsUnanswered = "unanswered",
     /// Requests answered without an attempt at any member.
-    Untried = "untried",
+    AnsweredWithoutAttempt = "untried",
     /// Attempts passed to the actors of members.
     Attempts = "attempts",
     /// Attempts that a member answered with an error.
-    Errors = "errors",
+    MemberErrors = "errors",
     /// Attempts that a member rejected because it has reached its limit.
-    TurnedAway = "turned_away",
+    RejectedAsFull = "turned_away",
     /// Attempts that a member rejected because it is not the primary or is too far behind.
-    Misplaced = "misplaced",
+    RejectedByRoleOrLag = "misplaced",
     /// Attempts for which no connection could be opened.
     Unreachable = "unreachable",
     /// Attempts whose connection broke before the answer.
@@ -67,23 +67,23 @@
     /// Attempts that were never sent: their time ran out first, or they were no longer wanted.
     Unsent = "unsent",
     /// Connections to members that the driver tried to open.
-    Connects = "connects",
+    MemberConnects = "connects",
     /// Times that an idle connection to a member was used again.
-    Reused = "reused",
+    MemberConnectionsReused = "reused",
     /// Probes of members started.
     Probes = "probes",
     /// Membership lists and updates taken in.
-    Lists = "lists",
+    ListUpdates = "lists",
     /// Calls to discovery that it answered.
-    Watches = "watches",
+    DiscoveryCalls = "watches",
     /// Calls to discovery that failed, and watches that ended.
-    CallsFailed = "calls_failed",
+    DiscoveryCallsFailed = "calls_failed",
     /// Datagrams sent to other drivers.
-    Told = "told",
+    DatagramsSent = "told",
     /// Datagrams from other drivers that were accepted.
-    Heard = "heard",
+    DatagramsReceived = "heard",
     /// Datagrams from other drivers that were dropped, and messages to them that found no room to wait.
-    Dropped = "dropped",
+    DatagramsDropped = "dropped",
     /// Bytes of datagrams sent, without IP and UDP headers.
     PeerBytesSent = "peer_bytes_sent",
     /// Bytes of datagrams received, without IP and UDP headers.
@@ -93,11 +93,11 @@
     /// Bytes received from discovery.
     ListBytesReceived = "list_bytes_received",
     /// Times that an actor had to wait for a descriptor.
-    Short = "short_of_descriptors",
+    DescriptorWaits = "short_of_descriptors",
     /// Stalls of the process.
-    Standstills = "standstills",
+    Stalls = "standstills",
     /// Violated invariants.
-    Breaches = "breaches",
+    InvariantViolations = "breaches",
 );
 
 /// The counters of a driver, and the last recorded sizes of the decision module's tables and states of zones.
@@ -131,22 +131,22 @@
     }
 
     /// The value of a counter.
-    pub fn of(&self, counter: Counter) -> u64 {
+    pub fn get(&self, counter: Counter) -> u64 {
         self.counts[counter as usize].get()
     }
 
     /// Checks an invariant. A violation panics in a debug build; a release build counts and logs it. `what` describes the
     /// invariant.
-    pub fn check(&self, holds: bool, what: &str) {
+    pub fn check_invariant(&self, holds: bool, what: &str) {
         debug_assert!(holds, "broken invariant: {what}");
         if !holds {
-            self.count(Counter::Breaches);
+            self.count(Counter::InvariantViolations);
             warn!("broken invariant: {what}");
         }
     }
 
     /// All counters that are not zero, in one line of `name=value` pairs.
-    pub fn line(&self) -> String {
+    pub fn summary_line(&self) -> String {
         let mut line = String::new();
         for (name, count) in NAMES.iter().zip(&self.counts).filter(|(_, count)| count.get() > 0) {
             let _ = write!(line, "{}{name}={}", if line.is_empty() { "" } else { " " }, count.get());
@@ -155,29 +155,29 @@
     }
 
     /// Records the sizes of the decision module's tables.
-    pub fn note(&self, sizes: TableSizes) {
+    pub fn record_sizes(&self, sizes: TableSizes) {
         self.sizes.set(sizes);
     }
 
     /// Records the states of the zones; empty without planners.
-    pub fn note_zones(&self, zones: Vec<ZoneStatus>) {
+    pub fn record_zones(&self, zones: Vec<ZoneStatus>) {
         self.zones.replace(zones);
     }
 
     /// The recorded states of the zones, one line each, in order of preference.
-    pub fn zones(&self) -> Vec<String> {
+    pub fn zone_lines(&self) -> Vec<String> {
         self.zones.borrow().iter().map(ZoneStatus::to_string).collect()
     }
 }
 
 /// The sizes of the driver's tables and its use of memory and descriptors, in one line of `name=value` pairs.
-pub fn holdings(node: &Node) -> String {
+pub fn usage_line(node: &Node) -> String {
     let TableSizes { members, groups, requests, sessions } = node.stats.sizes.get();
-    let (clients, connections) = (node.descriptors.clients.taken(), node.descriptors.members.taken());
+    let (clients, connections) = (node.descriptors.clients.in_use(), node.descriptors.members.in_use());
     let mut line = format!(
         "members={members} groups={groups} requests={requests} sessions={sessions} ids={} clients={clients} \
          member_connections={connections}",
-        node.ids.len()
+        node.request_ids.len()
     );
     // Memory and descriptors are reported only where the system has a /proc file system.
     let resident = fs::read_to_string("/proc/self/status").ok().and_then(|status| {
@@ -196,12 +196,12 @@
     let mut last_line = String::new();
     loop {
         Timer::after(REPORT_INTERVAL).await;
-        let line = node.stats.line();
+        let line = node.stats.summary_line();
         if line != last_line {
             info!("counts: {line}");
-            info!("holds: {}", holdings(node));
-            node.meter.line().into_iter().for_each(|line| info!("spent: {line}"));
-            node.stats.zones().iter().for_each(|line| info!("zones: {line}"));
+            info!("holds: {}", usage_line(node));
+            node.meter.summary_line().into_iter().for_each(|line| info!("spent: {line}"));
+            node.stats.zone_lines().iter().for_each(|line| info!("zones: {line}"));
             last_line = line;
         }
     }
--- a/crates/driver/tests/explore_list.rs
+++ b/crates/driver/tests/explore_list.rs
@@ -3,8 +3,8 @@
 
 use std::time::{Duration, Instant};
 
-use beaconshore_driver::discovery::follower::{Action, Follower, Verdict};
-use beaconshore_driver::discovery::pace::{Pace, RESYNC, SILENCE};
+use beaconshore_driver::discovery::call_timing::{CallTiming, RESYNC_INTERVAL, WATCH_TIMEOUT};
+use beaconshore_driver::discovery::list_sync::{Action, FullListVerdict, ListSync};
 
 /// What becomes of a call or a watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -44,10 +44,10 @@
 
 /// Plays with these fates of whole-list calls and of watches, one after the other, then all good; when the change was in
 /// force, after the agent had it.
-fn play(pace: Pace, wholes: &[Fate], watches: &[Fate]) -> Duration {
+fn play(pace: CallTiming, wholes: &[Fate], watches: &[Fate]) -> Duration {
     let start = Instant::now();
     let agent = Agent { start };
-    let mut follower = Follower::new(pace, None, start);
+    let mut follower = ListSync::new(pace, None, start);
     let (mut wholes, mut watches) = (wholes.iter(), watches.iter());
     // What is under way: when the whole call ends and with which version; when the watch ends or tells a version.
     let mut whole: Option<(Instant, Option<u64>)> = None;
@@ -55,34 +55,34 @@
     let (mut now, mut in_force) = (start, 0);
     let end = start + Duration::from_secs(30);
     while now < end {
-        while let Some(action) = follower.next(now) {
+        while let Some(action) = follower.next_action(now) {
             match action {
-                Action::AskWhole => {
+                Action::FetchList => {
                     assert!(whole.is_none(), "one call of the whole list at a time");
                     let fate = wholes.next().copied().unwrap_or(Fate::Good);
                     whole = Some(match fate {
-                        Fate::Stalls => (now + pace.call, None),
+                        Fate::Stalls => (now + pace.timeout, None),
                         Fate::Fails => (now, None),
-                        Fate::Late => (now + pace.call, Some(agent.version(now))),
+                        Fate::Late => (now + pace.timeout, Some(agent.version(now))),
                         _ => (now, Some(agent.version(now))),
                     });
                 }
-                Action::Watch(from) => {
+                Action::OpenWatch(from) => {
                     assert!(watch.is_none(), "one watch at a time");
                     assert_eq!(from, in_force, "from the version in force");
                     watch = Some((watches.next().copied().unwrap_or(Fate::Good), now, from));
                 }
-                Action::DropWatch => watch = None,
+                Action::CloseWatch => watch = None,
             }
         }
         // What comes next, and when.
         let told = watch.and_then(|(fate, since, from)| match fate {
-            Fate::Hushes | Fate::Stalls => Some((since + SILENCE, None)),
+            Fate::Hushes | Fate::Stalls => Some((since + WATCH_TIMEOUT, None)),
             Fate::Ends | Fate::Fails => Some((since, None)),
             Fate::Lies => None,
             // Late ones tell a change a call's time after the agent has it.
             _ if from < 2 => {
-                let late = if fate == Fate::Late { pace.call } else { Duration::ZERO };
+                let late = if fate == Fate::Late { pace.timeout } else { Duration::ZERO };
                 Some((since.max(start + CHANGE + late), Some(2)))
             }
             _ => None,
@@ -93,9 +93,9 @@
         if let Some((_, version)) = whole.filter(|(at, _)| *at <= now) {
             whole = None;
             match version {
-                None => follower.whole_failed(now),
+                None => follower.on_full_list_failure(now),
                 Some(version) => {
-                    if follower.whole_came(version, version, now) == Verdict::Applies {
+                    if follower.on_full_list(version, version, now) == FullListVerdict::Apply {
                         assert!(version >= in_force, "nothing old comes back: {version} after {in_force}");
                         in_force = version;
                     }
@@ -104,13 +104,13 @@
         } else if let Some((_, version)) = told.filter(|(at, _)| *at <= now) {
             match version {
                 Some(version) => {
-                    follower.changed(version);
+                    follower.on_update(version);
                     in_force = version;
                     watch = watch.map(|(fate, since, _)| (fate, since, version));
                 }
                 None => {
                     watch = None;
-                    follower.watch_ended(now);
+                    follower.on_watch_end(now);
                 }
             }
         }
@@ -129,7 +129,7 @@
     let watch_fates = [Fate::Good, Fate::Late, Fate::Lies, Fate::Hushes, Fate::Ends];
     let (mut orders, mut slowest) = (0, Duration::ZERO);
     for grace_ms in [200, 500, 2_000] {
-        let pace = Pace::within(grace_ms * 1_000);
+        let pace = CallTiming::for_drain_grace(grace_ms * 1_000);
         for number in 0..4_usize.pow(5) * 5_usize.pow(3) {
             let (w, v) = (number % 1_024, number / 1_024);
             let wholes: Vec<Fate> = (0..5).map(|place| whole_fates[w / 4_usize.pow(place) % 4]).collect();
@@ -137,7 +137,7 @@
             let took = play(pace, &wholes, &watches);
             // Of calls in a row that fail, four fit; the fifth would have to follow a good one.
             let failing = wholes.iter().filter(|f| matches!(f, Fate::Stalls | Fate::Fails)).count() as u32;
-            assert!(took <= pace.in_force_within(failing), "{wholes:?} {watches:?}: {took:?}");
+            assert!(took <= pace.max_apply_time(failing), "{wholes:?} {watches:?}: {took:?}");
             (orders, slowest) = (orders + 1, slowest.max(took));
         }
     }
@@ -149,29 +149,29 @@
 #[test]
 fn four_calls_in_a_row_may_fail_within_the_time_that_counts_as_told() {
     for grace_ms in [200, 500, 1_000, 2_000, 60_000] {
-        let pace = Pace::within(grace_ms * 1_000);
-        assert!(pace.in_force_within(4) <= Duration::from_secs(6), "{grace_ms}: {pace:?}");
+        let pace = CallTiming::for_drain_grace(grace_ms * 1_000);
+        assert!(pace.max_apply_time(4) <= Duration::from_secs(6), "{grace_ms}: {pace:?}");
     }
 }
 
 /// A whole list on its way while the watch tells news: the older one must not undo what is in force.
 #[test]
 fn a_list_that_was_overtaken_is_asked_for_again() {
-    let (now, pace) = (Instant::now(), Pace::within(500_000));
-    let mut follower = Follower::new(pace, Some(4), now);
-    assert_eq!(follower.next(now), Some(Action::Watch(4)));
-    let later = now + RESYNC;
-    assert_eq!(follower.next(later), Some(Action::AskWhole));
-    follower.changed(6);
-    assert_eq!(follower.whole_came(5, 1, later), Verdict::Overtaken);
-    assert_eq!((follower.version(), follower.next(later)), (Some(6), Some(Action::AskWhole)));
-    assert_eq!(follower.whole_came(6, 2, later), Verdict::Applies, "its text was not seen before");
-    assert_eq!(follower.next(later), None, "the watch that told it goes on");
-    assert_eq!(follower.next(later + RESYNC), Some(Action::AskWhole));
-    assert_eq!(follower.whole_came(6, 2, later), Verdict::Known);
+    let (now, pace) = (Instant::now(), CallTiming::for_drain_grace(500_000));
+    let mut follower = ListSync::new(pace, Some(4), now);
+    assert_eq!(follower.next_action(now), Some(Action::OpenWatch(4)));
+    let later = now + RESYNC_INTERVAL;
+    assert_eq!(follower.next_action(later), Some(Action::FetchList));
+    follower.on_update(6);
+    assert_eq!(follower.on_full_list(5, 1, later), FullListVerdict::Outdated);
+    assert_eq!((follower.version(), follower.next_action(later)), (Some(6), Some(Action::FetchList)));
+    assert_eq!(follower.on_full_list(6, 2, later), FullListVerdict::Apply, "its text was not seen before");
+    assert_eq!(follower.next_action(later), None, "the watch that told it goes on");
+    assert_eq!(follower.next_action(later + RESYNC_INTERVAL), Some(Action::FetchList));
+    assert_eq!(follower.on_full_list(6, 2, later), FullListVerdict::Unchanged);
     // A discovery that begins anew counts from a lower version: nothing came meanwhile, so it is no old list.
-    assert_eq!(follower.next(later + RESYNC), Some(Action::AskWhole));
-    assert_eq!(follower.whole_came(2, 3, later), Verdict::Applies);
-    assert_eq!(follower.next(later), Some(Action::DropWatch));
-    assert_eq!(follower.next(later), Some(Action::Watch(2)));
+    assert_eq!(follower.next_action(later + RESYNC_INTERVAL), Some(Action::FetchList));
+    assert_eq!(follower.on_full_list(2, 3, later), FullListVerdict::Apply);
+    assert_eq!(follower.next_action(later), Some(Action::CloseWatch));
+    assert_eq!(follower.next_action(later), Some(Action::OpenWatch(2)));
 }
--- a/crates/driver/tests/explore_shutdown.rs
+++ b/crates/driver/tests/explore_shutdown.rs
@@ -2,7 +2,9 @@
 
 use std::time::{Duration, Instant};
 
-use beaconshore_driver::shutdown::course::{Course, Step, LAST_ANSWERS, QUIET, TURNING};
+use beaconshore_driver::shutdown::sequence::{
+    ShutdownSequence, Step, ACCEPT_AFTER_SIGNAL, FINAL_ANSWERS_TIME, QUIET_PERIOD,
+};
 
 const LONGEST: Duration = Duration::from_millis(1_000);
 /// The signal leaves this much in all: the longest request's time and 0.7 s.
@@ -24,10 +26,10 @@
 /// Plays a series of events, and lets what is left come to its end; when each step came, after the first signal.
 fn play(events: &[Event]) -> Vec<(Step, Duration)> {
     let start = Instant::now();
-    let mut course = Course::new(LONGEST, start);
+    let mut course = ShutdownSequence::new(LONGEST, start);
     let (mut now, mut open, mut signalled, mut steps) = (start, 0_usize, None, Vec::new());
-    let mut drive = |course: &mut Course, now: Instant, signalled: Option<Instant>| {
-        while let Some(step) = course.step(now) {
+    let mut drive = |course: &mut ShutdownSequence, now: Instant, signalled: Option<Instant>| {
+        while let Some(step) = course.next_step(now) {
             steps.push((step, now - signalled.expect("no step before the signal")));
         }
     };
@@ -35,7 +37,7 @@
         match event {
             Event::Signal => {
                 signalled = signalled.or(Some(now));
-                course.signal(now);
+                course.on_stop_signal(now);
             }
             Event::Open if !course.is_closing() => open += 1,
             Event::Open => {}
@@ -50,11 +52,11 @@
                 now = end;
             }
         }
-        course.connections(open, now);
+        course.set_connections(open, now);
         drive(&mut course, now, signalled);
     }
     let signalled = signalled.unwrap_or_else(|| {
-        course.signal(now);
+        course.on_stop_signal(now);
         now
     });
     while let Some(due) = course.due() {
@@ -72,11 +74,11 @@
         let events: Vec<Event> =
             (0..6).map(|place| EVENTS[number / EVENTS.len().pow(place) % EVENTS.len()]).collect();
         let steps = play(&events);
-        let [(Step::Leave(left), at_once), (Step::Close, closed), (Step::End, ended)] = steps[..] else {
+        let [(Step::Drain(left), at_once), (Step::Close, closed), (Step::Exit, ended)] = steps[..] else {
             panic!("{events:?}: each step once and in order: {steps:?}")
         };
-        assert_eq!((left, at_once), (GIVEN - LAST_ANSWERS, Duration::ZERO), "{events:?}");
-        assert!(closed >= TURNING, "{events:?}: new connections still come: {closed:?}");
+        assert_eq!((left, at_once), (GIVEN - FINAL_ANSWERS_TIME, Duration::ZERO), "{events:?}");
+        assert!(closed >= ACCEPT_AFTER_SIGNAL, "{events:?}: new connections still come: {closed:?}");
         assert!(closed <= left && ended < GIVEN, "{events:?}: {closed:?}, {ended:?}");
         played += 1;
     }
@@ -86,24 +88,24 @@
 #[test]
 fn with_nobody_there_it_ends_early_and_a_late_comer_is_waited_for() {
     let steps = play(&[Event::Signal]);
-    assert_eq!(steps[2], (Step::End, TURNING), "no connection since before the signal");
+    assert_eq!(steps[2], (Step::Exit, ACCEPT_AFTER_SIGNAL), "no connection since before the signal");
     let steps = play(&[Event::Open, Event::Signal, Event::Time(450), Event::Time(90), Event::Close]);
-    assert_eq!(steps[2], (Step::End, Duration::from_millis(540) + QUIET));
+    assert_eq!(steps[2], (Step::Exit, Duration::from_millis(540) + QUIET_PERIOD));
     let steps = play(&[Event::Signal, Event::Time(450), Event::Open]);
-    assert_eq!(steps[1], (Step::Close, GIVEN - LAST_ANSWERS), "it is served while there is time");
+    assert_eq!(steps[1], (Step::Close, GIVEN - FINAL_ANSWERS_TIME), "it is served while there is time");
 }
 
 /// After a standstill there is still time for the last answers.
 #[test]
 fn a_driver_that_stood_still_closes_before_it_ends() {
     let start = Instant::now();
-    let mut course = Course::new(LONGEST, start);
-    course.signal(start);
-    course.connections(1, start);
-    assert!(matches!(course.step(start), Some(Step::Leave(_))));
+    let mut course = ShutdownSequence::new(LONGEST, start);
+    course.on_stop_signal(start);
+    course.set_connections(1, start);
+    assert!(matches!(course.next_step(start), Some(Step::Drain(_))));
     let late = start + Duration::from_secs(5);
-    assert_eq!(course.step(late), Some(Step::Close));
-    assert_eq!(course.step(late), None, "not at once: answers are still on their way");
-    assert_eq!(course.step(late + LAST_ANSWERS), Some(Step::End));
-    assert_eq!(course.step(late + LAST_ANSWERS), None);
+    assert_eq!(course.next_step(late), Some(Step::Close));
+    assert_eq!(course.next_step(late), None, "not at once: answers are still on their way");
+    assert_eq!(course.next_step(late + FINAL_ANSWERS_TIME), Some(Step::Exit));
+    assert_eq!(course.next_step(late + FINAL_ANSWERS_TIME), None);
 }
--- a/crates/driver/tests/list.rs
+++ b/crates/driver/tests/list.rs
@@ -5,8 +5,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use beaconshore_driver::discovery::pace::{Pace, SILENCE};
-use beaconshore_driver::discovery::values::Values;
+use beaconshore_driver::discovery::call_timing::{CallTiming, WATCH_TIMEOUT};
+use beaconshore_driver::discovery::update_decoder::UpdateDecoder;
 use common::discovery::entry;
 use common::{eventually, read, World};
 
@@ -22,15 +22,15 @@
 
 /// The versions that come of a body, fed in two pieces that meet at this byte.
 fn versions(body: &[u8], cut: usize) -> Vec<u64> {
-    let (mut values, mut found) = (Values::default(), Vec::new());
+    let (mut values, mut found) = (UpdateDecoder::default(), Vec::new());
     for piece in [&body[..cut], &body[cut..]] {
-        values.end().extend_from_slice(piece);
-        while let Some(listing) = values.listing().unwrap() {
+        values.input().extend_from_slice(piece);
+        while let Some(listing) = values.next_update().unwrap() {
             assert_eq!(listing.instances.len(), 1);
             found.push(listing.generation);
         }
     }
-    assert_eq!(values.begun(), 0, "all was taken");
+    assert_eq!(values.pending_bytes(), 0, "all was taken");
     found
 }
 
@@ -49,13 +49,16 @@
 #[test]
 fn what_can_not_become_a_list_is_told_at_once() {
     for body in ["hello\n", "}", "{\"a\":!!", "[1]", "7\n", "{\"generation\":\"x\""] {
-        let mut values = Values::default();
-        values.end().extend_from_slice(body.as_bytes());
-        assert!(values.listing().is_err(), "{body:?}");
+        let mut values = UpdateDecoder::default();
+        values.input().extend_from_slice(body.as_bytes());
+        assert!(values.next_update().is_err(), "{body:?}");
     }
-    let mut values = Values::default();
-    values.end().extend_from_slice(b"{\"generation\":7,");
-    assert!(values.listing().unwrap().is_none() && values.begun() > 0, "what may go on is waited for");
+    let mut values = UpdateDecoder::default();
+    values.input().extend_from_slice(b"{\"generation\":7,");
+    assert!(
+        values.next_update().unwrap().is_none() && values.pending_bytes() > 0,
+        "what may go on is waited for"
+    );
 }
 
 /// A call that came a moment too early, the pause after it and the next call fit into the time for drains; two calls of the
@@ -64,16 +67,23 @@
 fn the_pace_follows_from_the_time_for_drains() {
     for grace_ms in [200, 500, 1_000, 2_000] {
         let grace = Duration::from_millis(grace_ms);
-        let mut pace = Pace::within(grace.as_micros() as u64);
-        let pauses: Vec<Duration> = (0..10).map(|_| pace.pause()).collect();
+        let mut pace = CallTiming::for_drain_grace(grace.as_micros() as u64);
+        let pauses: Vec<Duration> = (0..10).map(|_| pace.next_pause()).collect();
         let longest = *pauses.iter().max().unwrap();
-        assert!(pauses[0] < pauses[1] && pace.call + longest < grace, "{grace:?}: {pace:?}, {longest:?}");
-        assert!(SILENCE + 2 * (pace.call + longest) + pace.call < TOLD_ANYWAY);
-        pace.answered();
-        assert_eq!(pace.pause(), pauses[0], "the pauses begin anew after a list");
+        assert!(pauses[0] < pauses[1] && pace.timeout + longest < grace, "{grace:?}: {pace:?}, {longest:?}");
+        assert!(WATCH_TIMEOUT + 2 * (pace.timeout + longest) + pace.timeout < TOLD_ANYWAY);
+        pace.reset();
+        assert_eq!(pace.next_pause(), pauses[0], "the pauses begin anew after a list");
     }
-    assert_eq!(Pace::within(0).call, Pace::within(500_000).call, "where nothing is said");
-    assert!(Pace::within(60_000_000).call <= Duration::from_millis(500), "patience ends in any case");
+    assert_eq!(
+        CallTiming::for_drain_grace(0).timeout,
+        CallTiming::for_drain_grace(500_000).timeout,
+        "where nothing is said"
+    );
+    assert!(
+        CallTiming::for_drain_grace(60_000_000).timeout <= Duration::from_millis(500),
+        "patience ends in any case"
+    );
 }
 
 #[test]
--- a/crates/driver/tests/parsers.rs
+++ b/crates/driver/tests/parsers.rs
@@ -2,7 +2,7 @@
 
 use beaconshore::interface::{Role, SpillLoan, ZoneId};
 use beaconshore_driver::config::Config;
-use beaconshore_driver::listing::{Lifecycle, Listing};
+use beaconshore_driver::membership::{Lifecycle, MembershipUpdate};
 use beaconshore_driver::peers::PeerMessage;
 use beaconshore_driver::pg::{self, BackendMessage, FirstMessage, FrontendMessage, ProtocolError, Severity};
 use beaconshore_driver::{http, peers};
@@ -270,7 +270,7 @@
 #[test]
 fn datagrams_hold_their_states_and_keep_their_bound() {
     let state = |i: u64| peers::MemberState {
-        member: peers::tag(&format!("s-{i}")),
+        member: peers::member_tag(&format!("s-{i}")),
         position: (1_767_225_600_000 + i) * 1000,
         role: [None, Some(Role::Primary), Some(Role::Replica)][i as usize % 3],
     };
@@ -299,7 +299,7 @@
 #[test]
 fn a_digest_is_read_as_it_was_written_and_only_whole() {
     let mut digest = beaconshore_gossip::Digest::default();
-    (0..100).for_each(|n| digest.add(peers::tag(&format!("s-{n}")), Role::Replica));
+    (0..100).for_each(|n| digest.add(peers::member_tag(&format!("s-{n}")), Role::Replica));
     let datagrams = PeerMessage::Digest(digest).encode();
     assert_eq!(datagrams.len(), 1);
     assert!(datagrams[0].len() <= 256);
@@ -325,7 +325,7 @@
         entry("s-4", "10.1.0.21:5432", "gone"),
     ];
     let text = format!("{{\"generation\":41,\"reset\":true,\"instances\":[{}]}}", entries.join(","));
-    let listing: Listing = serde_json::from_str(&text).unwrap();
+    let listing: MembershipUpdate = serde_json::from_str(&text).unwrap();
     let states: Vec<_> = listing.instances.iter().map(|i| (i.instance_id.as_str(), i.lifecycle)).collect();
     assert_eq!(
         states,
@@ -414,7 +414,7 @@
 fn the_shipped_configuration_and_operators_file_fit_each_other() {
     let config = Config::parse(include_bytes!("../../../deploy/driver.json")).unwrap();
     let text = include_str!("../../../deploy/operator.textproto");
-    let zones = config.operator("operator.textproto", text).unwrap().plans.zones.unwrap();
+    let zones = config.parse_operator_file("operator.textproto", text).unwrap().plans.zones.unwrap();
     assert_eq!(
         (zones.zones.len(), zones.number),
         (3, None),
@@ -444,7 +444,7 @@
     let snippets: Vec<&str> = page.split("```text\n").skip(1).filter_map(|s| s.split("```").next()).collect();
     assert_eq!(snippets.len(), 8);
     for snippet in snippets {
-        let operated = config.operator("snippet", snippet);
+        let operated = config.parse_operator_file("snippet", snippet);
         let operated = operated.unwrap_or_else(|found| panic!("{snippet}{}", found[0]));
         assert!(!operated.plans.routes.unwrap().routes.is_empty());
     }
--- a/crates/driver/tests/troubles.rs
+++ b/crates/driver/tests/troubles.rs
@@ -365,7 +365,7 @@
     let Some(PeerMessage::MemberStates(states)) = PeerMessage::decode(&bytes[..length]) else {
         panic!("no datagram of states: {:?}", &bytes[..length]);
     };
-    let tags = world.members().map(|m| peers::tag(&m.name));
+    let tags = world.members().map(|m| peers::member_tag(&m.name));
     assert!(!states.is_empty() && states.iter().all(|s| tags.contains(&s.member)), "{states:?}");
     assert!(states.iter().all(|s| s.position <= common::unix_ms() * 1000));
 
@@ -435,7 +435,7 @@
     let before = world.driver.switches();
     for number in 0..DATAGRAMS {
         let state = peers::MemberState {
-            member: peers::tag(&name),
+            member: peers::member_tag(&name),
             position: common::unix_ms() * 1000 - number,
             role: None,
         };
--- a/crates/scale/src/hollow.rs
+++ b/crates/scale/src/hollow.rs
@@ -17,7 +17,7 @@
 };
 use beaconshore_driver::member::{AttemptEnd, MemberMessage, SelfReport};
 use beaconshore_driver::stats::Counter;
-use beaconshore_driver::{Config, Control, Node};
+use beaconshore_driver::{Config, ControlPlane, Node};
 use beaconshore_emulator::client::Answer;
 use beaconshore_emulator::live::Ask;
 use beaconshore_gossip::Policy;
@@ -68,7 +68,7 @@
 
 /// A hollow driver that runs.
 pub struct Hollow {
-    control: Control,
+    control: ControlPlane,
     outstanding: Outstanding,
     answers: Sender<ClientMessage>,
     pauses: Sender<Duration>,
@@ -97,7 +97,7 @@
             offset: Rc::default(),
         };
         let transport = Rc::new(HollowTransport(outstanding.clone()));
-        let control = Control::start(config, transport, stream::pending())?;
+        let control = ControlPlane::start(config, transport, stream::pending())?;
         let (answers, answered) = async_channel::unbounded();
         control.node().spawn(tell_answers(answered, events.clone()));
         let (pauses, paused) = async_channel::unbounded();
--- a/crates/scale/src/sample.rs
+++ b/crates/scale/src/sample.rs
@@ -50,7 +50,7 @@
 
 fn read(stats: &Stats, meter: &Meter, source: Source) -> u64 {
     match source {
-        Source::Count(counter, _) => stats.of(counter),
+        Source::Count(counter, _) => stats.get(counter),
         Source::Time(work, _) => meter.spent(work),
     }
 }
@@ -63,9 +63,9 @@
 
 costs!(
     /// Datagrams sent.
-    datagrams_sent = Source::Count(Counter::Told, "told"),
+    datagrams_sent = Source::Count(Counter::DatagramsSent, "told"),
     /// Datagrams taken.
-    datagrams_received = Source::Count(Counter::Heard, "heard"),
+    datagrams_received = Source::Count(Counter::DatagramsReceived, "heard"),
     /// Bytes of datagrams sent, without headers.
     peer_bytes_sent = Source::Count(Counter::PeerBytesSent, "peer_bytes_sent"),
     /// Bytes of datagrams that came, without headers.
@@ -75,9 +75,9 @@
     /// Bytes that came from discovery.
     list_bytes_received = Source::Count(Counter::ListBytesReceived, "list_bytes_received"),
     /// Calls of discovery.
-    list_calls = Source::Count(Counter::Watches, "watches"),
+    list_calls = Source::Count(Counter::DiscoveryCalls, "watches"),
     /// Lists and changes taken in.
-    lists = Source::Count(Counter::Lists, "lists"),
+    lists = Source::Count(Counter::ListUpdates, "lists"),
     /// Health checks (probes).
     probes = Source::Count(Counter::Probes, "probes"),
     /// Requests taken.
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -109,7 +109,7 @@
 
 impl ReportField {
     /// The meaning of the value with this name in load reports.
-    pub fn named(name: &str) -> Self {
+    pub fn from_name(name: &str) -> Self {
         match name {
             "x0" => ReportField::Position,
             "x1" => ReportField::Role,
@@ -123,45 +123,45 @@
 /// The decoded settings: one part for the decision module, one for the program that runs it.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(try_from = "RawSettings")]
-pub struct Site {
+pub struct RouterSettings {
     /// The settings of the decision module.
-    pub settings: api::Settings,
+    pub module: api::Settings,
     /// The values that the program around the module needs.
-    pub dialect: Dialect,
+    pub protocol: ProtocolSettings,
 }
 
 /// Values that the program around the decision module needs to translate between its protocol and the module's events and
 /// actions, and to limit its connections.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Dialect {
+pub struct ProtocolSettings {
     /// Unix time in microseconds from which positions are counted in protocols with relative positions.
-    pub zero: api::Micros,
+    pub zero_time: api::Micros,
     /// Meaning of the values in a load report, in their order.
-    pub report: Vec<ReportField>,
+    pub report_fields: Vec<ReportField>,
     /// Names of the request classes, by index.
-    pub classes: Vec<String>,
+    pub class_names: Vec<String>,
     /// Names of the zones, by index.
-    pub zones: Vec<String>,
+    pub zone_names: Vec<String>,
     /// Time after which an attempt to open a connection to a member is given up; such a connection would never be
     /// established.
     pub connect_timeout: api::Micros,
     /// Time after which a member closes an idle connection at the latest.
-    pub conn_idle: api::Micros,
+    pub idle_timeout: api::Micros,
     /// Time after learning that a member drains, from which on no new request may be sent to it; 0 if not stated.
     pub drain_grace: api::Micros,
 }
 
-impl Site {
+impl RouterSettings {
     /// Decodes the settings from their JSON text.
-    pub fn parse(text: &[u8]) -> Result<Site, String> {
+    pub fn parse(text: &[u8]) -> Result<RouterSettings, String> {
         serde_json::from_slice(text).map_err(|e| format!("settings: {e}"))
     }
 }
 
-impl TryFrom<RawSettings> for Site {
+impl TryFrom<RawSettings> for RouterSettings {
     type Error = String;
 
-    fn try_from(raw: RawSettings) -> Result<Site, String> {
+    fn try_from(raw: RawSettings) -> Result<RouterSettings, String> {
         if raw.extra.consistency.len() != raw.request_classes.len() {
             return Err(format!(
                 "{} entries in extra.consistency for {} request classes",
@@ -173,7 +173,7 @@
         for (i, class) in raw.request_classes.iter().enumerate() {
             classes.push(decode_class(&raw.extra, i, class)?);
         }
-        let settings = api::Settings {
+        let module = api::Settings {
             zone: api::ZoneId(raw.zone),
             routers: raw.n_instances,
             step: raw.step_us,
@@ -210,16 +210,16 @@
                 overload_window: raw.rules.fall_us,
             },
         };
-        let dialect = Dialect {
-            zero: raw.extra.zero_us,
-            report: raw.load_report.fields.iter().map(|name| ReportField::named(name)).collect(),
-            classes: raw.request_classes.into_iter().map(|class| class.name).collect(),
-            zones: raw.zones,
+        let protocol = ProtocolSettings {
+            zero_time: raw.extra.zero_us,
+            report_fields: raw.load_report.fields.iter().map(|name| ReportField::from_name(name)).collect(),
+            class_names: raw.request_classes.into_iter().map(|class| class.name).collect(),
+            zone_names: raw.zones,
             connect_timeout: raw.limits.connect_timeout_us,
-            conn_idle: raw.limits.conn_idle_us,
+            idle_timeout: raw.limits.conn_idle_us,
             drain_grace: raw.rules.drain_grace_us,
         };
-        Ok(Site { settings, dialect })
+        Ok(RouterSettings { module, protocol })
     }
 }
 
