--- a/tests/cold_sum.rs
+++ b/tests/cold_sum.rs
@@ -210,7 +210,7 @@
         }
         println!("{scenario:?}: {}", row.join(", "));
     }
-    println!("routers: {SIZES:?}, 1000");
+    println!("routers: {FLEET_SIZES:?}, 1000");
     assert!(overloads.is_empty(), "{overloads:?}");
 }
 
