--- a/crates/benchlink/src/host.rs
+++ b/crates/benchlink/src/host.rs
@@ -164,7 +164,7 @@
     let primary = reader.f32()? == 1.0;
     let member = MemberId(reader.u32()?);
     let _capacity_hint = reader.f32()?;
-    Ok(ListEntry { member, group, zone, listed, started, primary })
+    Ok(ListEntry { member, group, zone, listed, started_at: started, primary })
 }
 
 /// Decodes the fields of an event; `None` for an event that the decision module has no use for.
@@ -203,7 +203,15 @@
             let took = u64::from(reader.u32()?);
             let finished = reader.u8()? != 0;
             let report = decode_report(reader, protocol)?;
-            Event::AttemptEnded(AttemptResult { request, member, outcome, note, took, finished, report })
+            Event::AttemptEnded(AttemptResult {
+                request,
+                member,
+                outcome,
+                status: note,
+                duration: took,
+                request_finished: finished,
+                report,
+            })
         }
         code::HANGUP => Event::ClientDisconnected(RequestId(reader.u64()?)),
         code::REMINDER => {
@@ -240,7 +248,15 @@
     // a later commit, and so for the stricter requirement.
     let last_write_ago =
         (last_write_ms > 0.0).then(|| (f64::from(last_write_ms.next_down()) * 1000.0) as u64);
-    Ok(Request { id, class, group: GroupId(group as u32), session, budget, repeat, last_write_ago })
+    Ok(Request {
+        id,
+        class,
+        group: GroupId(group as u32),
+        session,
+        budget,
+        is_repeat: repeat,
+        last_write_ago,
+    })
 }
 
 /// Decodes the outcome of an attempt or a probe.
@@ -327,7 +343,7 @@
     let driver_bytes = driver.to_le_bytes();
     let micros = |us: u64| u32::try_from(us).unwrap_or(u32::MAX).to_le_bytes();
     match action {
-        Action::Send { request, member, wait } => reply.record(
+        Action::Send { request, member, timeout: wait } => reply.record(
             code::DISPATCH,
             &[&driver_bytes, &request.0.to_le_bytes(), &member.0.to_le_bytes(), &micros(*wait)],
         ),
--- a/crates/benchlink/src/host/tests.rs
+++ b/crates/benchlink/src/host/tests.rs
@@ -100,11 +100,11 @@
     let tables = BTreeMap::new();
     let event = decode_event(code::ATTEMPT_END, &mut Reader::new(&raw), &tables, &protocol()).unwrap();
     let Some(Event::AttemptEnded(ended)) = event else { panic!("the event is not the end of an attempt") };
-    assert_eq!((ended.outcome, ended.finished, ended.took), (Outcome::Served, true, 18_500));
+    assert_eq!((ended.outcome, ended.request_finished, ended.duration), (Outcome::Served, true, 18_500));
     assert_eq!(ended.member, MemberId(0x0312_4a07));
     let ms = u64::from(0x638e_u32 >> 2);
-    assert_eq!(ended.note.position, Some(1_000_000 + ms * 1000));
-    assert_eq!(ended.note.role, Some(Role::Replica));
+    assert_eq!(ended.status.position, Some(1_000_000 + ms * 1000));
+    assert_eq!(ended.status.role, Some(Role::Replica));
     // The position of the report is rounded down by one unit of the float's last digit, never up.
     let exact = f64::from(f32::from_bits(0x40c6_872b)) * 1e6;
     let read = ended.report.position.unwrap() - 1_000_000;
--- a/crates/driver/src/decision/mod.rs
+++ b/crates/driver/src/decision/mod.rs
@@ -262,7 +262,7 @@
                 Lifecycle::Draining => ListedState::Draining,
                 Lifecycle::Gone => ListedState::Gone,
             },
-            started: Some(instance.started_at_ms.saturating_mul(1000))
+            started_at: Some(instance.started_at_ms.saturating_mul(1000))
                 .filter(|&at| at > 0)
                 .map(|at| self.node.clock_skew.to_local(at)),
             primary: instance.role.as_deref() == Some(LEADER),
@@ -296,7 +296,7 @@
             group: GroupId(client_request.group),
             session,
             budget: deadline.saturating_sub(now),
-            repeat: is_repeat,
+            is_repeat,
             last_write_ago: client_request
                 .min_position_ms
                 .map(|ms| now.saturating_sub(self.node.clock_skew.to_local(ms.saturating_mul(1000)))),
@@ -371,9 +371,9 @@
             request,
             member,
             outcome,
-            note,
-            took: duration,
-            finished,
+            status: note,
+            duration,
+            request_finished: finished,
             report,
         }));
     }
@@ -413,7 +413,7 @@
 
     fn execute(&mut self, now: Micros, action: Action) {
         match action {
-            Action::Send { request, member, wait } => self.send(now, request, member, wait),
+            Action::Send { request, member, timeout: wait } => self.send(now, request, member, wait),
             Action::Refuse { request, retry_after } => self.answer(request, Answer::Refused(retry_after)),
             Action::Fail(request) => self.answer(request, Answer::Failed),
             Action::CloseIdle(member) => self.send_to_member(member, MemberMessage::CloseIdle),
--- a/crates/driver/tests/explore_life.rs
+++ b/crates/driver/tests/explore_life.rs
@@ -40,7 +40,7 @@
 
 fn entry(member: u32, listed: ListedState) -> ListEntry {
     let (group, zone, started) = (GroupId(0), ZoneId(0), None);
-    ListEntry { member: MemberId(member), group, zone, listed, started, primary: member == 1 }
+    ListEntry { member: MemberId(member), group, zone, listed, started_at: started, primary: member == 1 }
 }
 
 /// What may happen from outside, each once, in any order.
@@ -283,7 +283,8 @@
                         continue;
                     }
                     let (group, session, repeat, last_write_ago) = (GroupId(0), None, false, None);
-                    let request = Request { id, class, group, session, budget, repeat, last_write_ago };
+                    let request =
+                        Request { id, class, group, session, budget, is_repeat: repeat, last_write_ago };
                     self.handle(beaconshore::interface::Event::Request(request));
                 }
                 Some(Mail::HungUp(id)) => {
@@ -309,7 +310,15 @@
                     }
                     let finished = !self.open.is_open(request);
                     let (note, took, report) = (ReplyStatus::default(), 5 * MS, Report::default());
-                    let ended = AttemptResult { request, member, outcome, note, took, finished, report };
+                    let ended = AttemptResult {
+                        request,
+                        member,
+                        outcome,
+                        status: note,
+                        duration: took,
+                        request_finished: finished,
+                        report,
+                    };
                     self.handle(beaconshore::interface::Event::AttemptEnded(ended));
                 }
             }
@@ -334,7 +343,7 @@
         self.router.handle(self.now, &event, &mut actions);
         for action in actions {
             match action {
-                Action::Send { request, member, wait } => {
+                Action::Send { request, member, timeout: wait } => {
                     let sending =
                         self.open.start_attempt(request, member, wait, self.now).expect("it is open");
                     assert!(sending.is_only_attempt, "a request has one attempt out");
--- a/crates/emulator/src/attempts.rs
+++ b/crates/emulator/src/attempts.rs
@@ -148,9 +148,9 @@
             request,
             member: MemberId(out.member as u32),
             outcome,
-            note,
-            took: now - out.began,
-            finished,
+            status: note,
+            duration: now - out.began,
+            request_finished: finished,
             report,
         });
         self.tell(router, &event);
--- a/crates/emulator/src/discovery.rs
+++ b/crates/emulator/src/discovery.rs
@@ -37,7 +37,7 @@
             group: GroupId(group as u32),
             zone: ZoneId(zone as u16),
             listed: ListedState::Ready,
-            started: None,
+            started_at: None,
             primary,
         });
     }
--- a/crates/emulator/src/faults.rs
+++ b/crates/emulator/src/faults.rs
@@ -265,7 +265,7 @@
         let started = self.members[member].started;
         let tell = self.discovery.change(member, |entry| {
             entry.listed = listed;
-            entry.started = started;
+            entry.started_at = started;
             if listed == ListedState::Gone {
                 entry.primary = false;
             }
--- a/crates/emulator/src/routing.rs
+++ b/crates/emulator/src/routing.rs
@@ -172,7 +172,9 @@
         let now = self.now();
         let process = (router, self.routers[router].epoch);
         match action {
-            Action::Send { request, member, wait } => self.attempt(router, request, member.0 as usize, wait),
+            Action::Send { request, member, timeout: wait } => {
+                self.attempt(router, request, member.0 as usize, wait)
+            }
             Action::Refuse { request, retry_after } => {
                 self.answer(router, request, Answer::Refused(retry_after))
             }
@@ -229,7 +231,7 @@
             group: GroupId(story.group as u32),
             session: Some(SessionId(session)),
             budget: ends - now,
-            repeat: story.left < self.plan.clients.retries,
+            is_repeat: story.left < self.plan.clients.retries,
             last_write_ago: commit.map(|at| now.saturating_sub(at)),
         });
         self.tell(to.0, &event);
--- a/crates/lab/src/capacity/decisions.rs
+++ b/crates/lab/src/capacity/decisions.rs
@@ -86,7 +86,7 @@
             group: GroupId(member / GROUP),
             zone: ZoneId((member % 7) as u16),
             listed: ListedState::Ready,
-            started: None,
+            started_at: None,
             primary: is_primary(MemberId(member)),
         };
         let entries: Vec<ListEntry> = (0..databases / GROUP * GROUP).map(entry).collect();
@@ -139,7 +139,7 @@
             group: GroupId(group as u32),
             session: None,
             budget: 2_000 * MILLISECOND,
-            repeat: false,
+            is_repeat: false,
             last_write_ago: None,
         }));
     }
@@ -156,9 +156,9 @@
         request,
         member,
         outcome: Outcome::Served,
-        note: ReplyStatus { position, role },
-        took: ANSWER,
-        finished: true,
+        status: ReplyStatus { position, role },
+        duration: ANSWER,
+        request_finished: true,
         report: Report { position, role, utilization: Some(0.4), backlog: None },
     }
 }
--- a/crates/rig/src/config.rs
+++ b/crates/rig/src/config.rs
@@ -38,7 +38,7 @@
             ListedState::Gone => "gone",
         },
         "weight": 1.0,
-        "startedAtMs": entry.started.map_or(0, |at| unix(at) / 1000),
+        "startedAtMs": entry.started_at.map_or(0, |at| unix(at) / 1000),
         "role": if entry.primary { "leader" } else { "follower" },
     })
 }
--- a/crates/routes/src/director.rs
+++ b/crates/routes/src/director.rs
@@ -146,10 +146,10 @@
         let route = &state.route;
         let zones = route.zones.iter().fold(0_u64, |mask, zone| mask | 1 << u32::from(zone.0).min(63));
         let narrow = RouteLimits {
-            attempts: route.attempts.unwrap_or(u32::MAX),
-            attempt: route.attempt.unwrap_or(0),
-            staleness: route.staleness.unwrap_or(Micros::MAX),
-            zones: if route.zones.is_empty() { u64::MAX } else { zones },
+            max_attempts: route.attempts.unwrap_or(u32::MAX),
+            attempt_timeout: route.attempt.unwrap_or(0),
+            max_staleness: route.staleness.unwrap_or(Micros::MAX),
+            zone_mask: if route.zones.is_empty() { u64::MAX } else { zones },
         };
         Verdict::Admit(route.budget.map_or(time_left, |budget| time_left.min(budget)), narrow)
     }
@@ -262,7 +262,7 @@
         group: request.group.0,
         key: settings.classes.get(request.class).is_some_and(is_keyed),
         session: request.session.is_some(),
-        repeat: request.repeat,
+        repeat: request.is_repeat,
         ..Facts::default()
     }
 }
--- a/crates/routes/tests/admission.rs
+++ b/crates/routes/tests/admission.rs
@@ -64,7 +64,8 @@
         ],
         None,
     );
-    let narrow = RouteLimits { attempts: 2, attempt: 300 * MS, staleness: 100 * MS, zones: 0b101 };
+    let narrow =
+        RouteLimits { max_attempts: 2, attempt_timeout: 300 * MS, max_staleness: 100 * MS, zone_mask: 0b101 };
     assert_eq!(harness.offer("view").1, Verdict::Admit(800 * MS, narrow));
     assert_eq!(harness.offer("log").1, Verdict::Admit(5 * SECOND, RouteLimits::default()));
     // A client that waits for less time than the route's budget keeps its shorter time.
--- a/crates/steering/benches/request_cost.rs
+++ b/crates/steering/benches/request_cost.rs
@@ -67,7 +67,7 @@
             group: GroupId(m / 3),
             zone: ZoneId((m % 3) as u16),
             listed: ListedState::Ready,
-            started: None,
+            started_at: None,
             primary: m % 3 == 1,
         };
         let entries: Vec<ListEntry> = (0..members).map(entry).collect();
@@ -90,9 +90,9 @@
                         request,
                         member,
                         outcome: Outcome::Served,
-                        note,
-                        took: 40 * MS,
-                        finished: true,
+                        status: note,
+                        duration: 40 * MS,
+                        request_finished: true,
                         report: Report {
                             position: note.position,
                             role,
@@ -125,7 +125,7 @@
             group: GroupId((self.last_request_id * 7 % u64::from(self.groups)) as u32),
             session: None,
             budget: 2_000 * MS,
-            repeat: false,
+            is_repeat: false,
             last_write_ago: None,
         });
         self.steering.handle(self.now, &request, &mut self.actions);
--- a/crates/steering/src/lib.rs
+++ b/crates/steering/src/lib.rs
@@ -74,7 +74,7 @@
                 self.apply_verdict(now, request, verdict, out);
             }
             Event::AttemptEnded(ended) => {
-                if ended.outcome != Outcome::Served && !ended.finished {
+                if ended.outcome != Outcome::Served && !ended.request_finished {
                     let rest = match director.on_failed(ended.request, ended.outcome, now) {
                         Again::At(at) if at <= now => None,
                         Again::At(at) => Some(Event::RetryNotBefore(ended.request, Some(at))),
@@ -152,7 +152,9 @@
                 }
                 let first_of_event = out.len();
                 self.router.handle(now, event, out);
-                zone_planner.on_actions(now, &out[first_of_event..], |class| self.router.work(class));
+                zone_planner.on_actions(now, &out[first_of_event..], |class| {
+                    self.router.unloaded_service_time(class)
+                });
                 if matches!(event, Event::List(..)) {
                     Self::advise(&mut self.router, zone_planner, now, out);
                 }
@@ -175,7 +177,8 @@
         if let Some(advice) = advice {
             let first_of_advice = out.len();
             router.handle(now, &Event::Advice(&advice), out);
-            zone_planner.on_actions(now, &out[first_of_advice..], |class| router.work(class));
+            zone_planner
+                .on_actions(now, &out[first_of_advice..], |class| router.unloaded_service_time(class));
         }
         out.extend(zone_planner.take_log_lines().into_iter().map(Action::Log));
     }
--- a/crates/steering/tests/composition.rs
+++ b/crates/steering/tests/composition.rs
@@ -71,7 +71,7 @@
             group: GroupId(m % 2),
             zone: ZoneId((m / 2 % 3) as u16),
             listed: listed(random),
-            started: None,
+            started_at: None,
             primary: m < 2,
         })
         .collect()
@@ -104,7 +104,7 @@
                         group: GroupId(random.below(2) as u32),
                         session: None,
                         budget: 1_000 * MS,
-                        repeat: random.below(4) == 0,
+                        is_repeat: random.below(4) == 0,
                         last_write_ago: None,
                     })
                 }
@@ -125,9 +125,12 @@
                         request,
                         member,
                         outcome,
-                        note: ReplyStatus { position: Some(now - random.below(300) * MS), role: Some(role) },
-                        took: now - sent,
-                        finished: outcome == Outcome::Served,
+                        status: ReplyStatus {
+                            position: Some(now - random.below(300) * MS),
+                            role: Some(role),
+                        },
+                        duration: now - sent,
+                        request_finished: outcome == Outcome::Served,
                         report: Report::default(),
                     })
                 }
--- a/crates/zones/src/health.rs
+++ b/crates/zones/src/health.rs
@@ -50,7 +50,7 @@
             zone: entry.zone,
             group: entry.group,
             listed: entry.listed,
-            started_at: entry.started,
+            started_at: entry.started_at,
             last_answer_at: 0,
             first_failure_at: None,
             position: 0,
@@ -139,7 +139,7 @@
         let member = self.members.entry(entry.member).or_insert_with(|| MemberHealth::new(entry));
         member.listed = entry.listed;
         (member.zone, member.group) = (entry.zone, entry.group);
-        member.started_at = member.started_at.max(entry.started);
+        member.started_at = member.started_at.max(entry.started_at);
     }
 
     /// Marks the members that a complete list does not contain as gone.
--- a/crates/zones/src/planner.rs
+++ b/crates/zones/src/planner.rs
@@ -172,21 +172,21 @@
                 let ramp_up = state.and_then(ZoneState::ramp_up);
                 let learn = ramp_up.is_none();
                 match (ramp_up, ended.outcome) {
-                    (Some(ramp_up), Outcome::Served) => ramp_up.on_attempt_ended(true, ended.took),
+                    (Some(ramp_up), Outcome::Served) => ramp_up.on_attempt_ended(true, ended.duration),
                     (Some(ramp_up), Outcome::TimedOut | Outcome::Reset | Outcome::Unreachable) => {
-                        ramp_up.on_attempt_ended(false, ended.took);
+                        ramp_up.on_attempt_ended(false, ended.duration);
                     }
                     _ => {}
                 }
-                let end = (ended.outcome, ended.took);
+                let end = (ended.outcome, ended.duration);
                 self.health.on_attempt_ended(ended.request, ended.member, end, learn, now);
                 let utilization = ended.report.utilization;
                 self.health.on_member_report(ended.member, ended.report.position, utilization, now);
                 let is_commit = ended.outcome == Outcome::Served && self.is_write(ended.request);
-                let position = ended.note.position.filter(|_| !is_commit);
-                self.record_role(ended.member, ended.note.role);
+                let position = ended.status.position.filter(|_| !is_commit);
+                self.record_role(ended.member, ended.status.role);
                 self.health.on_member_report(ended.member, position, None, now);
-                if ended.finished {
+                if ended.request_finished {
                     self.requests.remove(&ended.request);
                 }
             }
@@ -388,7 +388,7 @@
         }
         let order: Vec<ZoneId> =
             self.zone_order.order(self.settings.zone, self.zones.keys().copied(), &self.policy).to_vec();
-        let mut advice = Advice { zones: self.zone_advice(&order, now), homes: Vec::new() };
+        let mut advice = Advice { zones: self.zone_advice(&order, now), home_tiers: Vec::new() };
         advice.zones.retain(|zone| self.advised_zones.get(&zone.zone) != Some(zone));
         self.advised_zones.extend(advice.zones.iter().map(|w| (w.zone, w.clone())));
         self.placements.retain(|_, members| {
@@ -405,12 +405,12 @@
             };
             let home = best_tier(false).or_else(|| best_tier(true));
             if let Some(home) = home.filter(|home| self.advised_homes.get(group) != Some(home)) {
-                advice.homes.push((*group, home));
+                advice.home_tiers.push((*group, home));
             }
         }
-        self.advised_homes.extend(advice.homes.iter().copied());
+        self.advised_homes.extend(advice.home_tiers.iter().copied());
         self.advised_homes.retain(|group, _| self.placements.contains_key(group));
-        let is_empty = advice.zones.is_empty() && advice.homes.is_empty();
+        let is_empty = advice.zones.is_empty() && advice.home_tiers.is_empty();
         ((!is_empty).then_some(advice), due)
     }
 
@@ -492,7 +492,7 @@
             let spill = zone.limiter.as_mut().map(|limiter| {
                 let credit = limiter.remaining(now) / MEAN_WORK_RATIO;
                 if doubted {
-                    return SpillLimit { credit, shares: vec![1.0; demands.len()] };
+                    return SpillLimit { credit, class_shares: vec![1.0; demands.len()] };
                 }
                 // The shares only decide which classes come first. They may add up to a little more than the
                 // limit, because the window enforces it.
@@ -500,14 +500,14 @@
                 demands.iter_mut().zip(&shares).for_each(|(demand, share)| demand.work *= 1.0 - share);
                 // Rounded up to steps of 0.02, so that the router is not advised of every small change.
                 let shares = shares.into_iter().map(|s| (s * 50.0).ceil() / 50.0).collect();
-                SpillLimit { credit, shares }
+                SpillLimit { credit, class_shares: shares }
             });
             advice.push(ZoneAdvice {
                 zone: *id,
                 tier: tier as u16,
                 suspected: doubted,
                 read_share: share,
-                spill,
+                spill_limit: spill,
             });
         }
         advice
--- a/crates/zones/tests/failure_detection.rs
+++ b/crates/zones/tests/failure_detection.rs
@@ -72,7 +72,7 @@
         group: GroupId(member / 3),
         zone: ZoneId((member % 3) as u16),
         listed,
-        started: None,
+        started_at: None,
         primary: member % 3 == 1,
     }
 }
@@ -88,11 +88,11 @@
             group: GroupId(member / 3),
             session: None,
             budget: 1_000 * MS,
-            repeat: false,
+            is_repeat: false,
             last_write_ago: None,
         };
         self.planner.on_event(now, &Event::Request(request));
-        let send = Action::Send { request: id, member: MemberId(member), wait: 0 };
+        let send = Action::Send { request: id, member: MemberId(member), timeout: 0 };
         self.planner.on_actions(now, &[send], |_| 40_000.0);
         self.planner.on_event(
             now,
@@ -100,9 +100,9 @@
                 request: id,
                 member: MemberId(member),
                 outcome,
-                note: ReplyStatus { position: Some(now), role: None },
-                took: 50 * MS,
-                finished: true,
+                status: ReplyStatus { position: Some(now), role: None },
+                duration: 50 * MS,
+                request_finished: true,
                 report: Report::default(),
             }),
         );
@@ -118,7 +118,7 @@
             self.zone_advice.retain(|z| z.zone != zone.zone);
             self.zone_advice.push(zone);
         }
-        self.homes.extend(advice.homes);
+        self.homes.extend(advice.home_tiers);
     }
 
     /// Lets time pass. Every 50 ms each member gets an attempt with the outcome that `outcome_of` gives, or
@@ -187,7 +187,8 @@
     fixture.now += MS;
     for m in [2, 5, 8] {
         fixture.last_request_id += 1;
-        let send = Action::Send { request: RequestId(fixture.last_request_id), member: MemberId(m), wait: 0 };
+        let send =
+            Action::Send { request: RequestId(fixture.last_request_id), member: MemberId(m), timeout: 0 };
         fixture.planner.on_actions(fixture.now, &[send], |_| 40_000.0);
     }
     fixture.advance(1_000 * MS, |m| (m % 3 != 2).then_some(Outcome::Served));
@@ -239,7 +240,7 @@
     };
     let mut fixture = new_fixture(Policy { zones: vec![zone(0), zone(1), zone(2)], ..Policy::default() });
     let credit = |fixture: &Fixture, z: u16| {
-        fixture.zone_advice.iter().find(|w| w.zone == ZoneId(z)).unwrap().spill.clone()
+        fixture.zone_advice.iter().find(|w| w.zone == ZoneId(z)).unwrap().spill_limit.clone()
     };
     assert!(credit(&fixture, 0).is_none(), "nothing spills into its own zone");
     // Half of 8 s of work per second is shared by two routers outside the zone, and divided by the 1.15 by
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -221,7 +221,7 @@
     /// Whether the member is in service.
     pub listed: ListedState,
     /// When the member last started; `None` if that was long ago.
-    pub started: Option<Micros>,
+    pub started_at: Option<Micros>,
     /// Whether the list names the member as primary of its group.
     pub primary: bool,
 }
@@ -288,7 +288,7 @@
     pub read_share: f64,
     /// Limit on the reads sent to this zone although their home tier is a preferred one; `None` means no
     /// limit.
-    pub spill: Option<SpillLimit>,
+    pub spill_limit: Option<SpillLimit>,
 }
 
 /// Limit on the reads that may spill into a zone, that is, reads whose home tier is preferred to the zone's
@@ -298,7 +298,7 @@
     /// Work that may still be sent to the zone until the next advice, in microseconds of service time.
     pub credit: f64,
     /// Fraction of spilling reads that may be sent to the zone, by class index.
-    pub shares: Vec<f64>,
+    pub class_shares: Vec<f64>,
 }
 
 /// Advice of the zone planner to a router. It replaces earlier advice on the same zones and groups.
@@ -307,7 +307,7 @@
     /// Advice on single zones.
     pub zones: Vec<ZoneAdvice>,
     /// Home tier of each group's reads: the most preferred tier in which the group usually has members.
-    pub homes: Vec<(GroupId, u16)>,
+    pub home_tiers: Vec<(GroupId, u16)>,
 }
 
 /// A message between the zone planners of different routers by which they lend each other parts of a shared
@@ -369,7 +369,7 @@
     /// Time until the client gives up this try.
     pub budget: Micros,
     /// Whether the client marks the request as a repeat of an earlier one.
-    pub repeat: bool,
+    pub is_repeat: bool,
     /// How long before the request's arrival the session's last write was committed, if the client states it.
     pub last_write_ago: Option<Micros>,
 }
@@ -378,18 +378,23 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RouteLimits {
     /// Maximum number of attempts.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Timeout of a single attempt; 0 for the time that the request has left.
-    pub attempt: Micros,
+    pub attempt_timeout: Micros,
     /// Maximum age of the data of a bounded read, where its class allows older data.
-    pub staleness: Micros,
+    pub max_staleness: Micros,
     /// Zones whose members the request's reads may use, one bit per zone.
-    pub zones: u64,
+    pub zone_mask: u64,
 }
 
 impl Default for RouteLimits {
     fn default() -> Self {
-        RouteLimits { attempts: u32::MAX, attempt: 0, staleness: Micros::MAX, zones: u64::MAX }
+        RouteLimits {
+            max_attempts: u32::MAX,
+            attempt_timeout: 0,
+            max_staleness: Micros::MAX,
+            zone_mask: u64::MAX,
+        }
     }
 }
 
@@ -403,11 +408,11 @@
     /// Outcome of the attempt.
     pub outcome: Outcome,
     /// Status of the member as stated in the answer.
-    pub note: ReplyStatus,
+    pub status: ReplyStatus,
     /// Time from sending the attempt to its end.
-    pub took: Micros,
+    pub duration: Micros,
     /// Whether the request has received its final answer.
-    pub finished: bool,
+    pub request_finished: bool,
     /// Report of the member that came with the answer.
     pub report: Report,
 }
@@ -457,7 +462,7 @@
         /// Member to send it to.
         member: MemberId,
         /// Timeout of the attempt; 0 to wait until the client gives up.
-        wait: Micros,
+        timeout: Micros,
     },
     /// Answer a request finally as refused, which promises the client that a repeat is harmless.
     Refuse {
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -207,9 +207,9 @@
             ListedState::Draining => true,
             ListedState::Gone => member.excluded || !self.settings.rules.only_draining_binds,
         };
-        let restarted = entry.started > member.started;
+        let restarted = entry.started_at > member.started_at;
         if restarted {
-            (member.started, member.failures, member.unanswered) = (entry.started, 0, 0);
+            (member.started_at, member.failures, member.unanswered) = (entry.started_at, 0, 0);
         }
         let group = self.groups.entry(entry.group).or_default();
         group.members.insert(entry.member);
@@ -222,7 +222,7 @@
             group.primary = Some((entry.member, 0));
         }
         let outdated = |(p, evidence_at)| {
-            restarted && p == entry.member && evidence_at > 0 && Some(evidence_at) < member.started
+            restarted && p == entry.member && evidence_at > 0 && Some(evidence_at) < member.started_at
         };
         group.primary = group.primary.filter(|known| !outdated(*known));
     }
@@ -233,7 +233,7 @@
             |w: &ZoneAdvice| self.zone_advice.get(&w.zone).is_none_or(|old| old.suspected && !w.suspected);
         let suspicion_lifted = advice.zones.iter().any(lifts_suspicion);
         self.zone_advice.extend(advice.zones.iter().map(|w| (w.zone, w.clone())));
-        self.home_tiers.extend(advice.homes.iter().copied());
+        self.home_tiers.extend(advice.home_tiers.iter().copied());
         if suspicion_lifted {
             self.serve_active_groups(actions);
         }
@@ -254,18 +254,20 @@
     /// suffice.
     fn zone_admits(&self, pending: &PendingRequest, member: &Member) -> bool {
         let on_primary = self.settings.classes[pending.class].consistency.needs_primary();
-        let allowed = on_primary || pending.route_limits.zones >> u32::from(member.zone.0).min(63) & 1 == 1;
+        let allowed =
+            on_primary || pending.route_limits.zone_mask >> u32::from(member.zone.0).min(63) & 1 == 1;
         let Some(advice) = self.zone_advice.get(&member.zone).filter(|_| !on_primary) else { return allowed };
         let zone_draw = unit_hash(pending.random_draw ^ u64::from(advice.zone.0) << 32);
         let work = self.services[pending.class].unloaded_mean;
         let fits = |spill: &SpillLimit| {
-            spill.credit >= work && spill.shares.get(pending.class).is_none_or(|share| zone_draw < *share)
+            spill.credit >= work
+                && spill.class_shares.get(pending.class).is_none_or(|share| zone_draw < *share)
         };
         // This is the same random draw that limits cold and silent members, so that the fractions of one
         // request are not multiplied.
         allowed
             && self.member_draw(pending, member) < advice.read_share
-            && (!self.is_spill(pending, member.zone) || advice.spill.as_ref().is_none_or(fits))
+            && (!self.is_spill(pending, member.zone) || advice.spill_limit.as_ref().is_none_or(fits))
     }
 
     /// Returns whether only advice on zones keeps a read from all members that could serve it. Waiting is
@@ -341,8 +343,8 @@
         // The status of a served write states its commit, which is no position that the member has reached
         // for sure.
         let position =
-            ended.note.position.filter(|_| outcome != Outcome::Served || !self.is_write(attempt.class));
-        self.record_evidence(id, position, ended.note.role, now);
+            ended.status.position.filter(|_| outcome != Outcome::Served || !self.is_write(attempt.class));
+        self.record_evidence(id, position, ended.status.role, now);
         let Some(member) = self.members.get_mut(&id) else { return };
         let (was_silent, tail) = (member.is_silent(), self.services[attempt.class].tail());
         // If the member has answered since this attempt was sent, the connection lost the answer, which says
@@ -356,7 +358,9 @@
                 (member.failures, member.unanswered, member.last_answer_at) = (0, 0, now);
             }
             // A timeout counts only if the attempt lasted as long as nearly all answers take.
-            Outcome::TimedOut if !answer_lost => member.unanswered += u32::from(ended.took as f64 >= tail),
+            Outcome::TimedOut if !answer_lost => {
+                member.unanswered += u32::from(ended.duration as f64 >= tail)
+            }
             Outcome::Unreachable
                 if self.refused_share > SCARCE_CONNECTIONS_SHARE && !member.probe_unanswered =>
             {
@@ -370,7 +374,7 @@
             && now < member.position_learned_at.max(member.last_answer_at).saturating_add(PROBE_PERIOD);
         // A member out of connections refuses at once. An attempt that took about as long as the connect
         // timeout means slow connection setup, against which idle connections help.
-        let slow_connect = (1..=2 * ended.took).contains(&self.settings.limits.connect_timeout);
+        let slow_connect = (1..=2 * ended.duration).contains(&self.settings.limits.connect_timeout);
         let connection_refused = outcome == Outcome::Unreachable && recently_alive && !slow_connect;
         self.refused_share += SAMPLE_WEIGHT * (f64::from(connection_refused) - self.refused_share);
         self.served_share += SAMPLE_WEIGHT * (f64::from(outcome == Outcome::Served) - self.served_share);
@@ -383,7 +387,7 @@
         let service = &mut self.services[attempt.class];
         let latency_target = self.settings.classes[attempt.class].latency_target as f64;
         let min_limit = (INITIAL_LIMIT / f64::from(self.settings.routers.max(1))).min(1.0);
-        let delay = ended.took as f64 - service.unloaded_mean;
+        let delay = ended.duration as f64 - service.unloaded_mean;
         let overload_ratio = match outcome {
             Outcome::Served | Outcome::TimedOut
                 if !answer_lost || self.lost_share < SCARCE_CONNECTIONS_SHARE =>
@@ -393,7 +397,7 @@
             Outcome::Rejected => 3.0,
             _ => return,
         };
-        (outcome == Outcome::Served).then(|| service.add_sample(ended.took as f64));
+        (outcome == Outcome::Served).then(|| service.add_sample(ended.duration as f64));
         let weight = SAMPLE_WEIGHT
             .max(1.0 - (-(now.saturating_sub(member.limit_set_at) as f64) / INDEPENDENT_SAMPLE_GAP).exp());
         let open_attempts = (member.open.len() + 1) as f64;
@@ -419,8 +423,8 @@
             // The member may have restarted unnoticed while it was dropped, so it counts as cold.
             let restarted =
                 Some(self.now).filter(|_| member.probe_unanswered && member.failures >= DROP_FAILURES);
-            (member.started, member.failures, member.probe_unanswered) =
-                (member.started.max(restarted), 0, false);
+            (member.started_at, member.failures, member.probe_unanswered) =
+                (member.started_at.max(restarted), 0, false);
             self.record_report(id, report);
         } else {
             (member.failures, member.probe_unanswered) = (member.failures + 1, true);
@@ -470,7 +474,7 @@
             SessionTracking::Client => request.last_write_ago.map_or(0, |ago| self.now.saturating_sub(ago)),
             SessionTracking::Router => remembered.unwrap_or(self.now.saturating_sub(SESSION_MEMORY)),
         };
-        let Request { class, group, session, budget, repeat, .. } = *request;
+        let Request { class, group, session, budget, is_repeat, .. } = *request;
         let (expires_at, primary_wait_until, random_draw) =
             (self.now + budget, self.now + budget / 2, self.random.draw(u64::MAX));
         let usual = self.services[class].update_usual_budget(budget, self.tick);
@@ -480,10 +484,10 @@
         let deadline = self.settings.classes[class].deadline;
         let age = match budget {
             budget if budget.abs_diff(usual) <= self.tick => 0,
-            budget if repeat || budget > usual => deadline.saturating_sub(budget),
+            budget if is_repeat || budget > usual => deadline.saturating_sub(budget),
             budget => usual - budget,
         };
-        let likely_late = repeat && age == 0 && self.settings.classes[class].late_value_share == 0.0;
+        let likely_late = is_repeat && age == 0 && self.settings.classes[class].late_value_share == 0.0;
         let arrived_at = self.now.saturating_sub(age);
         let times =
             PendingRequest { arrived_at, expires_at, primary_wait_until, ..PendingRequest::default() };
@@ -509,7 +513,7 @@
         let Some(pending) = self.pending.get_mut(&id) else { return };
         match until {
             Some(until) => pending.not_before = until,
-            None => pending.route_limits.attempts = pending.tried_members.len() as u32,
+            None => pending.route_limits.max_attempts = pending.tried_members.len() as u32,
         }
     }
 
@@ -649,7 +653,7 @@
             && pending.tried_members.len() <= REQUEST_FAULT_FAILURES as usize;
         match self.settings.classes[pending.class].consistency {
             Consistency::Bounded(bound) => {
-                let max_age = bound.min(pending.route_limits.staleness);
+                let max_age = bound.min(pending.route_limits.max_staleness);
                 may_try && max_age == bound || self.now <= member.position.saturating_add(max_age)
             }
             Consistency::Session => may_try || member.position >= pending.min_position,
@@ -716,7 +720,7 @@
     /// start.
     fn warm_share(&self, member: &Member) -> f64 {
         let rules = &self.settings.rules;
-        let Some(age) = member.started.map(|s| self.now.saturating_sub(s)) else { return 1.0 };
+        let Some(age) = member.started_at.map(|s| self.now.saturating_sub(s)) else { return 1.0 };
         let warm_up_progress = (age as f64 / rules.warm_up_time.max(1) as f64).min(1.0);
         rules.cold_share + (1.0 - rules.cold_share) * warm_up_progress
     }
@@ -753,7 +757,7 @@
 
     /// Returns the observed service time of a class without queueing, in microseconds; 0 for an unknown
     /// class.
-    pub fn work(&self, class: usize) -> f64 {
+    pub fn unloaded_service_time(&self, class: usize) -> f64 {
         self.services.get(class).map_or(0.0, |service| service.unloaded_mean)
     }
 
@@ -782,21 +786,22 @@
         let spilled = self.members.get(&to).map(|m| m.zone).filter(|zone| is_spill(*zone));
         let (Some(pending), Some(m)) = (self.pending.get_mut(&id), self.members.get_mut(&to)) else { return };
         let service = &self.services[pending.class];
-        let spill = spilled.and_then(|zone| self.zone_advice.get_mut(&zone)?.spill.as_mut());
+        let spill = spilled.and_then(|zone| self.zone_advice.get_mut(&zone)?.spill_limit.as_mut());
         spill.into_iter().for_each(|spill| spill.credit -= service.unloaded_mean);
         let class = &self.settings.classes[pending.class];
         let early_timeout =
             (service.tail() as Micros).max(class.latency_target / 2) << pending.tried_members.len();
         let late_answer_useful = class.late_value_share > 0.0 && class.effect != Effect::Unsafe;
-        let wait =
+        let timeout =
             if late_answer_useful && self.lost_share > SCARCE_CONNECTIONS_SHARE { early_timeout } else { 0 };
-        let wait = [wait, pending.route_limits.attempt].into_iter().filter(|w| *w > 0).min().unwrap_or(0);
+        let timeout =
+            [timeout, pending.route_limits.attempt_timeout].into_iter().filter(|w| *w > 0).min().unwrap_or(0);
         pending.attempt_sent_at = Some(now);
         pending.tried_members.push(to);
         m.open.push(OpenAttempt { request: id, sent_at: now, class: pending.class });
         m.load = remaining_load(m, now, self.settings.rules.overload_window) + service.unloaded_mean;
         m.last_sent_at = now;
-        actions.push(Action::Send { request: id, member: to, wait });
+        actions.push(Action::Send { request: id, member: to, timeout });
     }
 
     /// Handles the end of an attempt: the request is finished, given up or queued again.
@@ -810,8 +815,8 @@
         pending.member_errors += u32::from(first_at_member && ended.outcome == Outcome::Error);
         pending.first_possible_run =
             pending.first_possible_run.or(possible_run.map(|sent| (sent, ended.member)));
-        if ended.finished {
-            let write_mark = (pending.session, ended.note.position);
+        if ended.request_finished {
+            let write_mark = (pending.session, ended.status.position);
             if let (true, (Some(session), Some(commit))) = (self.is_write(class), write_mark) {
                 self.sessions
                     .entry(session)
@@ -843,7 +848,7 @@
         };
         let end = end.saturating_sub(2 * self.tick).min(useful_until.saturating_sub(service.mean as Micros));
         let attempts_used_up = pending.tried_members.len()
-            >= self.settings.limits.max_attempts.min(pending.route_limits.attempts) as usize;
+            >= self.settings.limits.max_attempts.min(pending.route_limits.max_attempts) as usize;
         attempts_used_up
             || pending.member_errors >= REQUEST_FAULT_FAILURES
             || !self.may_repeat(pending, None)
--- a/src/records.rs
+++ b/src/records.rs
@@ -29,7 +29,7 @@
     /// Whether no new request may be sent to the member because it drains or is gone.
     pub(crate) excluded: bool,
     /// When the member last started, if known.
-    pub(crate) started: Option<Micros>,
+    pub(crate) started_at: Option<Micros>,
     /// Highest replication position that the member is known to have reached.
     pub(crate) position: Micros,
     /// When `position` was learned; 0 if the member has never stated one.
--- a/tests/cold_sum.rs
+++ b/tests/cold_sum.rs
@@ -78,7 +78,7 @@
     let list_before_restart: Vec<ListEntry> =
         (1..=MEMBERS).map(|member| entry(member, 0, member == 1)).collect();
     let mut list = list_before_restart.clone();
-    list[1].started = Some(START);
+    list[1].started_at = Some(START);
     let mut random = Random::new(seed);
     let start_router = |now: Micros, list: &[ListEntry], random: &mut Random| {
         let mut fixture = Fixture::with_seed(random.draw(u64::MAX), settings.clone(), list).0;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -79,7 +79,7 @@
         group: GroupId(1),
         zone: ZoneId(zone),
         listed: ListedState::Ready,
-        started: None,
+        started_at: None,
         primary,
     }
 }
@@ -188,7 +188,7 @@
             group: GroupId(1),
             session: None,
             budget,
-            repeat: false,
+            is_repeat: false,
             last_write_ago: None,
         };
         change(&mut request);
@@ -201,16 +201,16 @@
         request: RequestId,
         member: u32,
         outcome: Outcome,
-        note: ReplyStatus,
+        status: ReplyStatus,
     ) -> Vec<Action> {
-        let finished = outcome == Outcome::Served;
+        let request_finished = outcome == Outcome::Served;
         self.event(Event::AttemptEnded(AttemptResult {
             request,
             member: MemberId(member),
             outcome,
-            note,
-            took: self.attempt_duration,
-            finished,
+            status,
+            duration: self.attempt_duration,
+            request_finished,
             report: Report::default(),
         }))
     }
--- a/tests/random_events.rs
+++ b/tests/random_events.rs
@@ -170,7 +170,7 @@
         self.open.insert(id, open);
         let ago = self.rng.below(300) * MS;
         let request =
-            Request { id, class, group, session: None, budget, repeat: false, last_write_ago: Some(ago) };
+            Request { id, class, group, session: None, budget, is_repeat: false, last_write_ago: Some(ago) };
         self.event(Event::Request(request));
     }
 
@@ -203,28 +203,28 @@
         if !outcome.never_ran() && open.first_possible_run.is_none() {
             open.first_possible_run = Some(sent);
         }
-        let note = if has_status {
+        let status = if has_status {
             ReplyStatus { position: Some(position), role: Some(role) }
         } else {
             ReplyStatus::default()
         };
-        let finished = open.answered || outcome == Outcome::Served;
+        let request_finished = open.answered || outcome == Outcome::Served;
         if open.answered {
             self.open.remove(&id);
         } else {
-            open.answered = finished;
+            open.answered = request_finished;
         }
         if has_status {
             self.record_statement(member, position, role, !(write && outcome == Outcome::Served));
         }
-        let (took, report) = (self.now - sent, Report::default());
+        let (duration, report) = (self.now - sent, Report::default());
         self.event(Event::AttemptEnded(AttemptResult {
             request: id,
             member,
             outcome,
-            note,
-            took,
-            finished,
+            status,
+            duration,
+            request_finished,
             report,
         }));
         self.open.retain(|_, o| !o.answered || o.attempt.is_some());
@@ -270,8 +270,8 @@
         if primary {
             self.known_state.possible_primaries.insert(MemberId(member));
         }
-        let started = (self.rng.below(2) == 0).then_some(self.now);
-        let change = [ListEntry { started, ..list_entry(member, state, primary) }];
+        let started_at = (self.rng.below(2) == 0).then_some(self.now);
+        let change = [ListEntry { started_at, ..list_entry(member, state, primary) }];
         self.event(Event::List(ListKind::Delta, &change));
     }
 
--- a/tests/rules_kept.rs
+++ b/tests/rules_kept.rs
@@ -107,7 +107,7 @@
 #[test]
 fn a_cold_member_gets_a_fraction_of_the_requests_of_a_warm_one() {
     let mut fixture = Fixture::new();
-    let cold = ListEntry { started: Some(fixture.now), ..entry(2, 0, false) };
+    let cold = ListEntry { started_at: Some(fixture.now), ..entry(2, 0, false) };
     fixture.update_list(ListKind::Delta, &[cold]);
     let mut counts = [0; 4];
     for _ in 0..200 {
@@ -131,7 +131,7 @@
 fn simultaneous_requests_of_a_fleet_do_not_overload_a_cold_member() {
     let (mut to_cold, fleet) = (0, 300);
     for seed in 1..=fleet {
-        let cold = ListEntry { started: Some(START), ..entry(2, 0, false) };
+        let cold = ListEntry { started_at: Some(START), ..entry(2, 0, false) };
         let list = [entry(1, 0, true), cold, entry(3, 1, false)];
         let (mut fixture, _) = Fixture::with_seed(seed * 7919, settings(), &list);
         fixture.now += 5 * MS;
@@ -149,7 +149,7 @@
 /// A primary and nine replicas, all known to be fresh, one of which (2) has just started.
 fn with_a_cold_replica(seed: u64) -> Fixture {
     let mut list: Vec<ListEntry> = (1..=10).map(|member| entry(member, 0, member == 1)).collect();
-    list[1].started = Some(START);
+    list[1].started_at = Some(START);
     let (mut fixture, _) = Fixture::with_seed(seed, settings(), &list);
     fixture.now += 5 * MS;
     list.iter().for_each(|e| drop(fixture.answer_probe(e.member.0, fixture.now - MS, e.primary)));
@@ -419,7 +419,7 @@
 #[test]
 fn a_cold_primary_gets_one_write_at_a_time_from_each_of_few_routers() {
     let mut list = entries();
-    list[0].started = Some(START);
+    list[0].started_at = Some(START);
     let mut settings = settings();
     settings.classes[WRITE].latency_target = 300 * MS;
     let mut fixture = Fixture::ready(settings.clone(), &list);
--- a/tests/troubles.rs
+++ b/tests/troubles.rs
@@ -11,9 +11,9 @@
 fn a_repeat_without_late_value_is_refused_at_once_while_members_are_busy() {
     let mut fixture = Fixture::ready(settings(), &[entry(1, 0, true), entry(2, 0, false)]);
     while fixture.request(ANY).1.iter().any(|a| matches!(a, Action::Send { .. })) {}
-    let (repeat, actions) = fixture.request_with(ANY, 2_000 * MS, |r| r.repeat = true);
+    let (repeat, actions) = fixture.request_with(ANY, 2_000 * MS, |r| r.is_repeat = true);
     assert!(is_refused(&actions, repeat));
-    let (write, actions) = fixture.request_with(WRITE, 2_000 * MS, |r| r.repeat = true);
+    let (write, actions) = fixture.request_with(WRITE, 2_000 * MS, |r| r.is_repeat = true);
     assert!(!is_refused(&actions, write), "a late write still earns something");
 }
 
@@ -477,15 +477,15 @@
 #[test]
 fn attempts_time_out_early_only_while_connections_lose_answers() {
     let mut fixture = Fixture::new();
-    let wait = |actions: &[Action], id| {
+    let timeout = |actions: &[Action], id| {
         let send = actions.iter().find_map(|a| match a {
-            Action::Send { request, wait, .. } if *request == id => Some(*wait),
+            Action::Send { request, timeout, .. } if *request == id => Some(*timeout),
             _ => None,
         });
         send.expect("the request is sent")
     };
     let (id, actions) = fixture.request(WRITE);
-    assert_eq!(wait(&actions, id), 0);
+    assert_eq!(timeout(&actions, id), 0);
     fixture.end_attempt(id, 1, Outcome::Served, fixture.status(Role::Primary));
     for _ in 0..10 {
         let (lost, actions) = fixture.request(ANY);
@@ -502,16 +502,16 @@
         fixture.event(Event::ClientDisconnected(lost));
     }
     let (id, actions) = fixture.request(WRITE);
-    let first = wait(&actions, id);
+    let first = timeout(&actions, id);
     assert!(first > 0 && first < 600 * MS, "{first}: a repeat can still meet the latency target");
     let actions = fixture.end_attempt(id, 1, Outcome::TimedOut, ReplyStatus::default());
     assert_eq!(
-        wait(&actions, id),
+        timeout(&actions, id),
         2 * first,
         "a second attempt gets more time, since the first may have been slow only"
     );
     let (id, actions) = fixture.request(UNSAFE);
-    assert_eq!(wait(&actions, id), 0, "it cannot be repeated, so there is no timeout");
+    assert_eq!(timeout(&actions, id), 0, "it cannot be repeated, so there is no timeout");
 }
 
 /// Ids of members that leave for good never come back, so their records would pile up.
