--- a/crates/steering/benches/request_cost.rs
+++ b/crates/steering/benches/request_cost.rs
@@ -85,16 +85,16 @@
             match action {
                 Action::Send { request, member, .. } => {
                     let role = Some(if member.0 % 3 == 1 { Role::Primary } else { Role::Replica });
-                    let note = ReplyStatus { position: Some(self.now - 5 * MS), role };
+                    let status = ReplyStatus { position: Some(self.now - 5 * MS), role };
                     let ended = Event::AttemptEnded(AttemptResult {
                         request,
                         member,
                         outcome: Outcome::Served,
-                        status: note,
+                        status,
                         duration: 40 * MS,
                         request_finished: true,
                         report: Report {
-                            position: note.position,
+                            position: status.position,
                             role,
                             utilization: Some(0.4),
                             backlog: None,
--- a/crates/zones/src/health.rs
+++ b/crates/zones/src/health.rs
@@ -167,7 +167,7 @@
         &mut self,
         request: RequestId,
         id: MemberId,
-        (outcome, took): (Outcome, Micros),
+        (outcome, duration): (Outcome, Micros),
         learn: bool,
         now: Micros,
     ) {
@@ -179,15 +179,15 @@
             }
             // If the member has answered something since this attempt was sent, only a connection has failed.
             Outcome::TimedOut | Outcome::Reset | Outcome::Unreachable => {
-                if member.last_answer_at + took <= now {
-                    member.first_failure_at = member.first_failure_at.or(Some(now.saturating_sub(took)));
+                if member.last_answer_at + duration <= now {
+                    member.first_failure_at = member.first_failure_at.or(Some(now.saturating_sub(duration)));
                 }
             }
             Outcome::Cancelled | Outcome::NeverSent => {}
         }
         if outcome == Outcome::Served && learn {
-            let usual = self.usual_latency.entry(member.zone).or_insert(took as f64);
-            *usual += LATENCY_SMOOTHING * (took as f64 - *usual);
+            let usual = self.usual_latency.entry(member.zone).or_insert(duration as f64);
+            *usual += LATENCY_SMOOTHING * (duration as f64 - *usual);
         }
     }
 
--- a/crates/zones/src/planner.rs
+++ b/crates/zones/src/planner.rs
@@ -191,8 +191,8 @@
                 }
             }
             Event::ProbeEnded { member, outcome, report } => {
-                if let Some((zone, took)) = self.health.on_probe_ended(*member, *outcome, now) {
-                    self.zone_order.record_round_trip(zone, took);
+                if let Some((zone, duration)) = self.health.on_probe_ended(*member, *outcome, now) {
+                    self.zone_order.record_round_trip(zone, duration);
                 }
                 if *outcome == Outcome::Served {
                     let zone = self.health.member(*member).and_then(|m| self.zones.get_mut(&m.zone));
@@ -480,35 +480,30 @@
         let mut demands: Vec<ClassDemand> = (0..classes.len())
             .map(|i| ClassDemand {
                 work: self.demand.of_class(i),
-                worth_per_work: classes[i].value / classes[i].latency_target.max(1) as f64,
+                value_per_work: classes[i].value / classes[i].latency_target.max(1) as f64,
             })
             .collect();
         let mut advice = Vec::with_capacity(order.len());
         for (tier, id) in order.iter().enumerate() {
             let Some(zone) = self.zones.get_mut(id) else { continue };
-            let doubted = zone.state.is_failed();
+            let suspected = zone.state.is_failed();
             let rules = &self.settings.rules;
-            let share = zone.state.ramp_up().map_or(1.0, |ramp_up| ramp_up.share(&zone.health, rules, now));
-            let spill = zone.limiter.as_mut().map(|limiter| {
+            let read_share =
+                zone.state.ramp_up().map_or(1.0, |ramp_up| ramp_up.share(&zone.health, rules, now));
+            let spill_limit = zone.limiter.as_mut().map(|limiter| {
                 let credit = limiter.remaining(now) / MEAN_WORK_RATIO;
-                if doubted {
+                if suspected {
                     return SpillLimit { credit, class_shares: vec![1.0; demands.len()] };
                 }
                 // The shares only decide which classes come first. They may add up to a little more than the
                 // limit, because the window enforces it.
-                let (shares, _) = allocate(limiter.limit(now), &demands);
-                demands.iter_mut().zip(&shares).for_each(|(demand, share)| demand.work *= 1.0 - share);
+                let (class_shares, _) = allocate(limiter.limit(now), &demands);
+                demands.iter_mut().zip(&class_shares).for_each(|(demand, share)| demand.work *= 1.0 - share);
                 // Rounded up to steps of 0.02, so that the router is not advised of every small change.
-                let shares = shares.into_iter().map(|s| (s * 50.0).ceil() / 50.0).collect();
-                SpillLimit { credit, class_shares: shares }
-            });
-            advice.push(ZoneAdvice {
-                zone: *id,
-                tier: tier as u16,
-                suspected: doubted,
-                read_share: share,
-                spill_limit: spill,
+                let class_shares = class_shares.into_iter().map(|s| (s * 50.0).ceil() / 50.0).collect();
+                SpillLimit { credit, class_shares }
             });
+            advice.push(ZoneAdvice { zone: *id, tier: tier as u16, suspected, read_share, spill_limit });
         }
         advice
     }
--- a/crates/zones/src/ramp_up.rs
+++ b/crates/zones/src/ramp_up.rs
@@ -110,10 +110,10 @@
     }
 
     /// Records the end of an attempt in the zone.
-    pub fn on_attempt_ended(&mut self, is_answered: bool, took: Micros) {
+    pub fn on_attempt_ended(&mut self, is_answered: bool, duration: Micros) {
         if is_answered {
             self.stats.answers += 1;
-            self.stats.total_latency += took as f64;
+            self.stats.total_latency += duration as f64;
         } else {
             self.stats.failures += 1;
         }
--- a/crates/zones/src/spill_limit.rs
+++ b/crates/zones/src/spill_limit.rs
@@ -17,22 +17,22 @@
 /// Time between two rounds, in microseconds. Each round the planner updates its zones and the demand.
 pub const ROUND_MICROS: Micros = 50_000;
 
-/// How much work of a class wants to spill over, and what that work is worth.
+/// How much work of a class wants to spill over, and the value of that work.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ClassDemand {
     /// Work that wants to spill over, in microseconds per second.
     pub work: f64,
-    /// Worth of a microsecond of work.
-    pub worth_per_work: f64,
+    /// Value of a microsecond of work.
+    pub value_per_work: f64,
 }
 
-/// Divides a budget among classes in order of their worth per work: the best ones get all they want, the next
-/// one gets a part, and the others get nothing. This earns the most worth, since a class may be served in
+/// Divides a budget among classes in order of their value per work: the best ones get all they want, the next
+/// one gets a part, and the others get nothing. This earns the most value, since a class may be served in
 /// part (the fractional knapsack problem). Returns each class's share of what it wants, and what is left of
 /// the budget.
 pub fn allocate(budget: f64, demands: &[ClassDemand]) -> (Vec<f64>, f64) {
     let mut order: Vec<usize> = (0..demands.len()).collect();
-    order.sort_by(|a, b| demands[*b].worth_per_work.total_cmp(&demands[*a].worth_per_work));
+    order.sort_by(|a, b| demands[*b].value_per_work.total_cmp(&demands[*a].value_per_work));
     let (mut shares, mut left) = (vec![1.0; demands.len()], budget.max(0.0));
     for class in order {
         let work = demands[class].work;
@@ -156,8 +156,8 @@
     use super::*;
 
     #[test]
-    fn budget_goes_to_the_classes_with_the_highest_worth_per_work() {
-        let demand = |work, worth_per_work| ClassDemand { work, worth_per_work };
+    fn budget_goes_to_the_classes_with_the_highest_value_per_work() {
+        let demand = |work, value_per_work| ClassDemand { work, value_per_work };
         let (shares, left) = allocate(100.0, &[demand(80.0, 1.0), demand(60.0, 3.0), demand(50.0, 2.0)]);
         assert_eq!(shares, [0.0, 1.0, 0.8]);
         assert_eq!(left, 0.0);
--- a/crates/zones/src/zone_order.rs
+++ b/crates/zones/src/zone_order.rs
@@ -22,12 +22,12 @@
 
 impl ZoneOrder {
     /// Records the round trip of a probe to a member of the zone.
-    pub fn record_round_trip(&mut self, zone: ZoneId, took: Micros) {
-        let average = self.round_trips.entry(zone).or_insert(took as f64);
-        *average = if (took as f64) < *average {
-            took as f64
+    pub fn record_round_trip(&mut self, zone: ZoneId, duration: Micros) {
+        let average = self.round_trips.entry(zone).or_insert(duration as f64);
+        *average = if (duration as f64) < *average {
+            duration as f64
         } else {
-            *average + ROUND_TRIP_SMOOTHING * (took as f64 - *average)
+            *average + ROUND_TRIP_SMOOTHING * (duration as f64 - *average)
         };
     }
 
--- a/crates/zones/tests/failure_detection.rs
+++ b/crates/zones/tests/failure_detection.rs
@@ -42,7 +42,7 @@
     last_request_id: u64,
     /// The latest advice on each zone.
     zone_advice: Vec<ZoneAdvice>,
-    homes: Vec<(GroupId, u16)>,
+    home_tiers: Vec<(GroupId, u16)>,
     /// Number of probes that the planner asked for.
     probes: usize,
 }
@@ -56,7 +56,7 @@
         now: START,
         last_request_id: 0,
         zone_advice: Vec::new(),
-        homes: Vec::new(),
+        home_tiers: Vec::new(),
         probes: 0,
     };
     let entries: Vec<ListEntry> = (0..12).map(|m| entry(m, ListedState::Ready)).collect();
@@ -118,7 +118,7 @@
             self.zone_advice.retain(|z| z.zone != zone.zone);
             self.zone_advice.push(zone);
         }
-        self.homes.extend(advice.home_tiers);
+        self.home_tiers.extend(advice.home_tiers);
     }
 
     /// Lets time pass. Every 50 ms each member gets an attempt with the outcome that `outcome_of` gives, or
@@ -261,23 +261,23 @@
 #[test]
 fn groups_keep_their_home_tier_for_a_while_after_members_leave_the_list() {
     let mut fixture = new_fixture(Policy::default());
-    assert_eq!(fixture.homes.len(), 4);
-    assert!(fixture.homes.iter().all(|(_, tier)| *tier == 0));
-    fixture.homes.clear();
+    assert_eq!(fixture.home_tiers.len(), 4);
+    assert!(fixture.home_tiers.iter().all(|(_, tier)| *tier == 0));
+    fixture.home_tiers.clear();
     let gone: Vec<ListEntry> = (0..4).map(|g| entry(3 * g, ListedState::Gone)).collect();
     fixture.planner.on_event(fixture.now, &Event::List(ListKind::Delta, &gone));
     fixture.advise();
-    assert!(fixture.homes.iter().all(|(_, tier)| *tier == 0), "{:?}", fixture.homes);
+    assert!(fixture.home_tiers.iter().all(|(_, tier)| *tier == 0), "{:?}", fixture.home_tiers);
     // Once the memory of 600 s is over, a group's home is where its members are now.
     fixture.now += 700_000 * MS;
     let present: Vec<ListEntry> =
         (0..12).filter(|m| m % 3 != 0).map(|m| entry(m, ListedState::Ready)).collect();
     fixture.planner.on_event(fixture.now, &Event::List(ListKind::Full, &present));
-    fixture.homes.clear();
+    fixture.home_tiers.clear();
     fixture.advise();
     assert!(
-        fixture.homes.iter().all(|(_, tier)| *tier > 0) && fixture.homes.len() == 4,
+        fixture.home_tiers.iter().all(|(_, tier)| *tier > 0) && fixture.home_tiers.len() == 4,
         "{:?}",
-        fixture.homes
+        fixture.home_tiers
     );
 }
