--- a/crates/driver/src/cli/diff.rs
+++ b/crates/driver/src/cli/diff.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 
 use beaconshore_routes::Route;
-use beaconshore_steering::Plans;
+use beaconshore_steering::PlannerPolicies;
 
 use super::{load_configuration, load_plans};
 
@@ -21,12 +21,12 @@
 }
 
 /// The changes between two files, one line each: `-` for a removed route, `+` for an added one, `~` for a changed one.
-fn changes(old: &Plans, new: &Plans) -> Vec<String> {
+fn changes(old: &PlannerPolicies, new: &PlannerPolicies) -> Vec<String> {
     let mut lines = Vec::new();
     if old.zones != new.zones {
         lines.push("zones: changed; takes effect only after a restart".to_owned());
     }
-    let routes_of = |plans: &Plans| plans.routes.clone().unwrap_or_default();
+    let routes_of = |plans: &PlannerPolicies| plans.routes.clone().unwrap_or_default();
     let (before, after) = (routes_of(old), routes_of(new));
     if before.open != after.open {
         lines.push(format!(
--- a/crates/driver/src/cli/mod.rs
+++ b/crates/driver/src/cli/mod.rs
@@ -10,7 +10,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-use beaconshore_steering::Plans;
+use beaconshore_steering::PlannerPolicies;
 use clap::{CommandFactory, Parser, Subcommand, ValueEnum};
 use clap_complete::Shell;
 
@@ -123,7 +123,7 @@
 }
 
 /// Loads the policies of an operator's file. The error lists all its problems, one per line.
-fn load_plans(config: &Config, path: &Path) -> Result<Plans, String> {
+fn load_plans(config: &Config, path: &Path) -> Result<PlannerPolicies, String> {
     let file = path.display().to_string();
     let loaded = config.parse_operator_file(&file, &read_text(path)?);
     loaded.map(|loaded| loaded.plans).map_err(|problems| {
--- a/crates/driver/src/config.rs
+++ b/crates/driver/src/config.rs
@@ -8,7 +8,7 @@
 use beaconshore_operator::parse;
 use beaconshore_operator::text::Problem;
 use beaconshore_settings::RouterSettings;
-use beaconshore_steering::Plans;
+use beaconshore_steering::PlannerPolicies;
 use beaconshore_zones::Policy;
 use serde::Deserialize;
 
@@ -46,7 +46,7 @@
     pub settings: RouterSettings,
     /// Zones and routes from the operator's file; empty without one.
     #[serde(skip)]
-    pub plans: Plans,
+    pub plans: PlannerPolicies,
     /// Whether processor time is measured by kind of work, from the operator's file.
     #[serde(skip)]
     pub accounting: bool,
@@ -63,7 +63,7 @@
 #[derive(Debug)]
 pub struct OperatorConfig {
     /// The policies for zones and routes.
-    pub plans: Plans,
+    pub plans: PlannerPolicies,
     /// Whether processor time is measured by kind of work.
     pub accounting: bool,
     /// The policy for spreading states of members.
@@ -136,7 +136,8 @@
     pub fn parse_operator_file(&self, file: &str, text: &str) -> Result<OperatorConfig, Vec<Problem>> {
         let operator = parse(file, text).map_err(|e| vec![e])?;
         let (settings, protocol) = (&self.settings.module, &self.settings.protocol);
-        let mut plans = Plans { classes: protocol.class_names.clone(), ..Plans::default() };
+        let mut plans =
+            PlannerPolicies { classes: protocol.class_names.clone(), ..PlannerPolicies::default() };
         let mut problems = Vec::new();
         if let Some(zones) = &operator.zones {
             // Drivers are numbered by their position in the list of peers. One that is not in the list, or may not exchange
@@ -144,7 +145,7 @@
             let number = self.peers.iter().position(|peer| Some(*peer) == self.peer_listen);
             let number = number.filter(|_| settings.limits.peer_messages).map(|n| n as u32);
             match beaconshore_operator::zones(file, text, zones, &protocol.zone_names) {
-                Ok(policy) => plans.zones = Some(Policy { number, ..policy }),
+                Ok(policy) => plans.zones = Some(Policy { router_number: number, ..policy }),
                 Err(problem) => problems.push(problem),
             }
         }
--- a/crates/driver/src/decision/mod.rs
+++ b/crates/driver/src/decision/mod.rs
@@ -17,7 +17,7 @@
     Action, AttemptResult, Event, GroupId, ListEntry, ListKind, ListedState, MemberId, MemberUpdate, Micros,
     Outcome, Request, RequestId, Role, SpillLoan, ZoneId,
 };
-use beaconshore_steering::{Connection, Steering};
+use beaconshore_steering::{ConnectionInfo, Steering};
 use futures_lite::future;
 use log::{info, warn};
 
@@ -284,7 +284,7 @@
             cancel_flag,
             ..
         } = client_request;
-        let routed = self.router.is_routed().then(|| statement.clone());
+        let routed = self.router.has_routes().then(|| statement.clone());
         match self.requests.add(id, client, statement, deadline, cancel_flag) {
             AddResult::Opened => {}
             AddResult::ClientGone => return self.node.stats.count(Counter::RequestsAbandoned),
@@ -303,9 +303,15 @@
         };
         let Some(routed) = routed else { return self.handle_at(now, &Event::Request(request)) };
         let connection =
-            Connection { client: identity.address, user: &identity.user, database: &identity.database };
+            ConnectionInfo { client: identity.address, user: &identity.user, database: &identity.database };
         let mut actions = Vec::new();
-        self.router.request(now, &request, connection, pg::strip_request_comment(&routed.text), &mut actions);
+        self.router.handle_request(
+            now,
+            &request,
+            connection,
+            pg::strip_request_comment(&routed.text),
+            &mut actions,
+        );
         actions.into_iter().for_each(|action| self.execute(now, action));
     }
 
@@ -531,7 +537,7 @@
         }
         self.last_sweep = now;
         self.node.stats.record_sizes(self.router.sizes());
-        self.node.stats.record_zones(self.router.zones(now));
+        self.node.stats.record_zones(self.router.zone_status(now));
         for id in self.requests.overdue(now) {
             warn!("request {} got no decision before its deadline; answering it as failed", id.0);
             self.node.stats.check_invariant(false, "every request is answered before its deadline");
--- a/crates/driver/src/lib.rs
+++ b/crates/driver/src/lib.rs
@@ -41,7 +41,7 @@
 use async_io::Async;
 use beaconshore::interface::Micros;
 use beaconshore_settings::RouterSettings;
-use beaconshore_steering::Plans;
+use beaconshore_steering::PlannerPolicies;
 use futures_lite::{Stream, StreamExt};
 use log::{info, warn};
 
@@ -196,7 +196,7 @@
         } else if new.plans.routes != config.plans.routes {
             let count = new.plans.routes.as_ref().map_or(0, |r| r.routes.len());
             info!("routes read again: {count} of them; requests already accepted keep their routes");
-            config.plans = Plans { zones: config.plans.zones, ..new.plans.clone() };
+            config.plans = PlannerPolicies { zones: config.plans.zones, ..new.plans.clone() };
             module.send(DecisionMessage::ReplaceRoutes(new.plans.routes));
         }
     }
--- a/crates/driver/tests/parsers.rs
+++ b/crates/driver/tests/parsers.rs
@@ -416,7 +416,7 @@
     let text = include_str!("../../../deploy/operator.textproto");
     let zones = config.parse_operator_file("operator.textproto", text).unwrap().plans.zones.unwrap();
     assert_eq!(
-        (zones.zones.len(), zones.number),
+        (zones.zones.len(), zones.router_number),
         (3, None),
         "it may not loan to others, so it lends nothing"
     );
--- a/crates/emulator/src/routing.rs
+++ b/crates/emulator/src/routing.rs
@@ -4,7 +4,7 @@
     Action, Consistency, Event, GroupId, ListEntry, ListKind, MemberId, Micros, Outcome, Report, Request,
     RequestId, SessionId, Settings, SpillLoan, ZoneId,
 };
-use beaconshore_steering::{Plans, Steering};
+use beaconshore_steering::{PlannerPolicies, Steering};
 use beaconshore_zones::Policy;
 
 use crate::baseline::Brains;
@@ -90,12 +90,12 @@
         let settings = Settings { zone: ZoneId(process.zone as u16), ..self.plan.settings.clone() };
         let number = Some(router as u32);
         let plans = match self.brains {
-            Brains::Planned => Some(Plans {
-                zones: self.plan.policy.clone().map(|p| Policy { number, ..p }),
+            Brains::Planned => Some(PlannerPolicies {
+                zones: self.plan.policy.clone().map(|p| Policy { router_number: number, ..p }),
                 routes: self.plan.routes.clone(),
                 classes: self.plan.classes.iter().map(|c| c.name.clone()).collect(),
             }),
-            Brains::Plain => Some(Plans::default()),
+            Brains::Plain => Some(PlannerPolicies::default()),
             _ => None,
         };
         let seed = self.seed ^ ((router as u64) << 32 | u64::from(epoch)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -222,8 +222,8 @@
     pub(crate) fn finish(mut self) -> Day {
         let now = self.queue.now();
         for router in &mut self.routers {
-            let zones = router.steering.as_mut().map(|s| s.zones(now)).unwrap_or_default();
-            self.day.turns += zones.iter().map(|z| z.turned).sum::<u64>();
+            let zones = router.steering.as_mut().map(|s| s.zone_status(now)).unwrap_or_default();
+            self.day.turns += zones.iter().map(|z| z.preference_changes).sum::<u64>();
         }
         // What is still open at the end has earned nothing, and is not counted against anyone.
         let open = std::mem::take(&mut self.stories);
--- a/crates/lab/src/capacity/decisions.rs
+++ b/crates/lab/src/capacity/decisions.rs
@@ -8,7 +8,7 @@
     RuleParameters, Settings, ZoneId,
 };
 use beaconshore_capacity::sample::{Axis, Cost, Mechanism, Sample};
-use beaconshore_steering::{Plans, Steering};
+use beaconshore_steering::{PlannerPolicies, Steering};
 
 const MILLISECOND: Micros = 1_000;
 const START: Micros = 1_000_000_000;
@@ -71,7 +71,7 @@
 
 impl Driver {
     fn new(databases: u32, seed: u64) -> Driver {
-        let steering = Steering::new(settings(), Plans::default(), seed, START);
+        let steering = Steering::new(settings(), PlannerPolicies::default(), seed, START);
         let mut driver = Driver {
             steering,
             groups: u64::from(databases / GROUP),
--- a/crates/operator/src/zones.rs
+++ b/crates/operator/src/zones.rs
@@ -36,17 +36,17 @@
     }
     let micros = |ms: Option<u64>, default| ms.map_or(default, |ms| ms.saturating_mul(1000));
     let policy = Policy {
-        number: None,
+        router_number: None,
         zones: configured,
         spill_share: zones.spill_share.unwrap_or(defaults.spill_share),
         quorum: zones.quorum.unwrap_or(defaults.quorum),
         silence: micros(zones.silence_ms, defaults.silence),
         dwell: micros(zones.dwell_ms, defaults.dwell),
-        proof: zones.proof.unwrap_or(defaults.proof),
-        failures: zones.failures.unwrap_or(defaults.failures),
-        slowdown: zones.slowdown.unwrap_or(defaults.slowdown),
+        min_answers: zones.proof.unwrap_or(defaults.min_answers),
+        max_failure_share: zones.failures.unwrap_or(defaults.max_failure_share),
+        max_slowdown: zones.slowdown.unwrap_or(defaults.max_slowdown),
         flap_memory: micros(zones.flap_memory_ms, defaults.flap_memory),
-        most_doublings: zones.most_doublings.unwrap_or(defaults.most_doublings),
+        max_doublings: zones.most_doublings.unwrap_or(defaults.max_doublings),
         hold: micros(zones.hold_ms, defaults.hold),
     };
     match policy.check() {
@@ -77,7 +77,7 @@
         );
         let policy = policy.unwrap();
         assert_eq!((policy.dwell, policy.hold), (800_000, Policy::default().hold));
-        assert_eq!(policy.of(ZoneId(1)).unwrap().prefer, [ZoneId(1), ZoneId(0)]);
+        assert_eq!(policy.zone(ZoneId(1)).unwrap().prefer, [ZoneId(1), ZoneId(0)]);
     }
 
     /// Guards against an example file whose values differ from the defaults that it claims to show.
--- a/crates/steering/benches/request_cost.rs
+++ b/crates/steering/benches/request_cost.rs
@@ -5,7 +5,7 @@
 #![allow(missing_docs)] // The macros of criterion generate functions without documentation.
 
 use beaconshore::interface::*;
-use beaconshore_steering::{Plans, Steering};
+use beaconshore_steering::{PlannerPolicies, Steering};
 use beaconshore_zones::policy::{Policy, ZonePolicy};
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
 
@@ -61,7 +61,12 @@
 
 impl Fixture {
     fn new(members: u32, policy: Option<Policy>) -> Fixture {
-        let mut steering = Steering::new(settings(), Plans { zones: policy, ..Plans::default() }, 7, START);
+        let mut steering = Steering::new(
+            settings(),
+            PlannerPolicies { zones: policy, ..PlannerPolicies::default() },
+            7,
+            START,
+        );
         let entry = |m: u32| ListEntry {
             member: MemberId(m),
             group: GroupId(m / 3),
--- a/crates/steering/src/lib.rs
+++ b/crates/steering/src/lib.rs
@@ -17,7 +17,7 @@
 
 /// The policies of the planners, as operators state them. The default has no planners.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Plans {
+pub struct PlannerPolicies {
     /// The policy of the zone planner; none: zones are not planned for.
     pub zones: Option<beaconshore_zones::Policy>,
     /// The policy of the routes; none: no request is limited by a route.
@@ -28,7 +28,7 @@
 
 /// What is known of the client connection that a request came on. Conditions of routes can refer to it.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Connection<'a> {
+pub struct ConnectionInfo<'a> {
     /// The address of the client.
     pub client: Option<IpAddr>,
     /// The user name that the client has given.
@@ -50,8 +50,8 @@
 impl Steering {
     /// Creates a router with these settings, and planners for the policies that are stated. The seed is for
     /// random choices.
-    pub fn new(settings: Settings, plans: Plans, seed: u64, now: Micros) -> Self {
-        let Plans { zones, routes, classes: class_names } = plans;
+    pub fn new(settings: Settings, policies: PlannerPolicies, seed: u64, now: Micros) -> Self {
+        let PlannerPolicies { zones, routes, classes: class_names } = policies;
         let zone_planner = zones.map(|policy| Planner::new(policy, &settings, now));
         let director = routes.map(|policy| Director::new(policy, seed, now));
         Steering {
@@ -97,18 +97,18 @@
 
     /// Handles a new request whose connection and statement are known, which an [`Event::Request`] does not
     /// carry, and appends the actions that follow from it to `out`.
-    pub fn request(
+    pub fn handle_request(
         &mut self,
         now: Micros,
         request: &Request,
-        connection: Connection,
+        connection: ConnectionInfo,
         statement: &str,
         out: &mut Vec<Action>,
     ) {
         let Some(director) = &mut self.director else {
             return self.handle_in_module(now, &Event::Request(request.clone()), out);
         };
-        let Connection { client, user, database } = connection;
+        let ConnectionInfo { client, user, database } = connection;
         let facts =
             Facts { client, user, database, statement, ..facts(request, &self.settings, &self.class_names) };
         let verdict = director.on_request(request.id, &facts, request.budget, now);
@@ -116,7 +116,7 @@
     }
 
     /// Whether there are routes. Only then callers need to pass a request's connection and statement.
-    pub fn is_routed(&self) -> bool {
+    pub fn has_routes(&self) -> bool {
         self.director.is_some()
     }
 
@@ -198,7 +198,7 @@
     }
 
     /// Returns the status of all zones; empty without a zone planner.
-    pub fn zones(&mut self, now: Micros) -> Vec<ZoneStatus> {
+    pub fn zone_status(&mut self, now: Micros) -> Vec<ZoneStatus> {
         self.zone_planner.as_mut().map_or_else(Vec::new, |planner| planner.status(now))
     }
 
--- a/crates/steering/tests/composition.rs
+++ b/crates/steering/tests/composition.rs
@@ -2,7 +2,7 @@
 
 use beaconshore::interface::*;
 use beaconshore::Router;
-use beaconshore_steering::{Plans, Steering};
+use beaconshore_steering::{PlannerPolicies, Steering};
 use beaconshore_zones::Policy;
 
 const MS: Micros = 1_000;
@@ -163,7 +163,7 @@
 fn composition_without_planners_acts_like_the_module_alone() {
     for seed in 0..20 {
         let mut router = Router::new(settings(), seed, START);
-        let mut steering = Steering::new(settings(), Plans::default(), seed, START);
+        let mut steering = Steering::new(settings(), PlannerPolicies::default(), seed, START);
         let module_alone = |now: Micros, event: &Event| {
             let mut actions = Vec::new();
             router.handle(now, event, &mut actions);
@@ -177,7 +177,7 @@
             compared += actions.len();
         });
         assert!(compared > 1_000, "{compared} actions");
-        assert!(steering.zones(START).is_empty());
+        assert!(steering.zone_status(START).is_empty());
     }
 }
 
@@ -187,7 +187,7 @@
     for seed in 0..10 {
         let mut steering = Steering::new(
             settings(),
-            Plans { zones: Some(Policy::default()), ..Plans::default() },
+            PlannerPolicies { zones: Some(Policy::default()), ..PlannerPolicies::default() },
             seed,
             START,
         );
--- a/crates/zones/src/planner.rs
+++ b/crates/zones/src/planner.rs
@@ -66,7 +66,7 @@
     /// This router's limit on that work, in microseconds; none if operators stated no capacity for the zone.
     pub spill_limit: Option<f64>,
     /// How often this router has stopped using the zone or started to use it again.
-    pub turned: u64,
+    pub preference_changes: u64,
 }
 
 impl fmt::Display for ZoneStatus {
@@ -78,7 +78,7 @@
         if let Some(limit) = self.spill_limit {
             write!(f, " spilled_ms={:.0} limit_ms={:.0}", self.spilled_work / 1e3, limit / 1e3)?;
         }
-        write!(f, " turned={}", self.turned)
+        write!(f, " turned={}", self.preference_changes)
     }
 }
 
@@ -132,7 +132,7 @@
         };
         Planner {
             policy: Policy {
-                number: policy.number.filter(|_| settings.routers <= MAX_LENDING_ROUTERS),
+                router_number: policy.router_number.filter(|_| settings.routers <= MAX_LENDING_ROUTERS),
                 ..policy
             },
             staleness_bound: settings.classes.iter().filter_map(staleness_bound).min().unwrap_or(1_000_000),
@@ -224,7 +224,7 @@
 
     /// Takes loan messages of another router: requests for loans, and loans to this or a third router.
     fn on_loan_messages(&mut self, from: u32, messages: &[SpillLoan], now: Micros) {
-        let Some(number) = self.policy.number.filter(|number| *number != from) else { return };
+        let Some(number) = self.policy.router_number.filter(|number| *number != from) else { return };
         for message in messages {
             let limiter = self.zones.get_mut(&message.zone).and_then(|z| z.limiter.as_mut());
             let Some(limiter) = limiter else { continue };
@@ -243,7 +243,9 @@
 
     /// Asks the other routers for loans if more work wants to spill over than this router's own limits allow.
     fn request_loans(&mut self, now: Micros) {
-        if self.policy.number.is_none() || now < self.last_loan_request_at + LOAN_REQUEST_INTERVAL_MICROS {
+        if self.policy.router_number.is_none()
+            || now < self.last_loan_request_at + LOAN_REQUEST_INTERVAL_MICROS
+        {
             return;
         }
         self.last_loan_request_at = now;
@@ -297,7 +299,7 @@
     /// Returns this router's part of the limit on work that spills into a zone, in microseconds within any
     /// second.
     fn spill_limit(&self, zone: ZoneId) -> Option<f64> {
-        let stated = self.policy.of(zone).filter(|z| z.capacity > 0.0 && zone != self.settings.zone)?;
+        let stated = self.policy.zone(zone).filter(|z| z.capacity > 0.0 && zone != self.settings.zone)?;
         let outside = self.settings.routers.saturating_sub(stated.routers).max(1);
         Some(self.policy.spill_share * stated.capacity * WINDOW_MICROS as f64 / f64::from(outside))
     }
@@ -550,7 +552,7 @@
     }
 
     fn zone_name(&self, zone: ZoneId) -> String {
-        let stated = self.policy.of(zone).map(|z| z.name.clone()).filter(|name| !name.is_empty());
+        let stated = self.policy.zone(zone).map(|z| z.name.clone()).filter(|name| !name.is_empty());
         stated.unwrap_or_else(|| zone.0.to_string())
     }
 
@@ -576,7 +578,7 @@
                 share: advised.map_or(1.0, |w| w.read_share),
                 spilled_work: zone.limiter.as_mut().map_or(0.0, |l| l.used(now)),
                 spill_limit: zone.limiter.as_ref().map(|l| l.limit(now)),
-                turned: zone.state.preference_changes(),
+                preference_changes: zone.state.preference_changes(),
             });
         }
         statuses.sort_by_key(|z| z.tier);
--- a/crates/zones/src/policy.rs
+++ b/crates/zones/src/policy.rs
@@ -30,7 +30,7 @@
 pub struct Policy {
     /// This router's number among the routers that exchange messages, from 0. None: routers lend each other
     /// no parts of their spill limits.
-    pub number: Option<u32>,
+    pub router_number: Option<u32>,
     /// The described zones. A zone without an entry has no spill limit, and its preference follows its round
     /// trips.
     pub zones: Vec<ZonePolicy>,
@@ -44,15 +44,15 @@
     pub dwell: Micros,
     /// Answers that this router must get at the last step of a ramp-up before the zone is fully in use;
     /// earlier steps need a part of that.
-    pub proof: u32,
+    pub min_answers: u32,
     /// Share of a step's attempts that may fail.
-    pub failures: f64,
+    pub max_failure_share: f64,
     /// A step is given up if its answers take longer than this multiple of the zone's usual latency.
-    pub slowdown: f64,
+    pub max_slowdown: f64,
     /// A further loss of the same zone within this time makes its ramp-up slower, in microseconds.
     pub flap_memory: Micros,
     /// How often the stay at a step may be doubled at most.
-    pub most_doublings: u32,
+    pub max_doublings: u32,
     /// Shortest time from a loss or cut-off until the zone may be used again, in microseconds. It limits how
     /// often routers change their preference.
     pub hold: Micros,
@@ -61,17 +61,17 @@
 impl Default for Policy {
     fn default() -> Self {
         Policy {
-            number: None,
+            router_number: None,
             zones: Vec::new(),
             spill_share: 0.5,
             quorum: 0.75,
             silence: 700_000,
             dwell: 500_000,
-            proof: 8,
-            failures: 0.2,
-            slowdown: 3.0,
+            min_answers: 8,
+            max_failure_share: 0.2,
+            max_slowdown: 3.0,
             flap_memory: 120_000_000,
-            most_doublings: 4,
+            max_doublings: 4,
             hold: 1_000_000,
         }
     }
@@ -124,8 +124,8 @@
         let ratios = [
             ("spill_share", self.spill_share, 0.0, 1.0),
             ("quorum", self.quorum, 0.5, 1.0),
-            ("failures", self.failures, 0.0, 0.9),
-            ("slowdown", self.slowdown, 1.1, 100.0),
+            ("failures", self.max_failure_share, 0.0, 0.9),
+            ("slowdown", self.max_slowdown, 1.1, 100.0),
         ];
         for (name, value, min, max) in ratios {
             if !(value >= min && value <= max) {
@@ -145,17 +145,17 @@
                 return invalid(name.into(), reason);
             }
         }
-        if self.most_doublings > 10 {
+        if self.max_doublings > 10 {
             return invalid(
                 "most_doublings".into(),
-                format!("is {}, must be at most 10", self.most_doublings),
+                format!("is {}, must be at most 10", self.max_doublings),
             );
         }
         Ok(())
     }
 
     /// Returns the entry of a zone, if it has one.
-    pub fn of(&self, zone: ZoneId) -> Option<&ZonePolicy> {
+    pub fn zone(&self, zone: ZoneId) -> Option<&ZonePolicy> {
         self.zones.iter().find(|z| z.zone == zone)
     }
 }
--- a/crates/zones/src/ramp_up.rs
+++ b/crates/zones/src/ramp_up.rs
@@ -153,18 +153,19 @@
         usual_latency: f64,
         now: Micros,
     ) -> RampDecision {
-        let stay =
-            policy.dwell << (self.loss_doublings + self.step_down_doublings).min(policy.most_doublings);
+        let stay = policy.dwell << (self.loss_doublings + self.step_down_doublings).min(policy.max_doublings);
         let StepStats { probe_answers, answers, failures, total_latency } = self.stats;
         let attempts = answers + failures;
         let answers_part = MIN_ANSWERS_PART + (1.0 - MIN_ANSWERS_PART) * STEP_SHARES[self.step];
-        let has_enough_answers = f64::from(answers) >= answers_part * f64::from(policy.proof);
-        if attempts >= policy.proof.max(2) && f64::from(failures) > policy.failures * f64::from(attempts) {
+        let has_enough_answers = f64::from(answers) >= answers_part * f64::from(policy.min_answers);
+        if attempts >= policy.min_answers.max(2)
+            && f64::from(failures) > policy.max_failure_share * f64::from(attempts)
+        {
             return self.step_down(StepDownReason::Failures, zone, policy, now);
         }
-        if answers >= policy.proof
+        if answers >= policy.min_answers
             && usual_latency > 0.0
-            && total_latency / f64::from(answers) > policy.slowdown * usual_latency
+            && total_latency / f64::from(answers) > policy.max_slowdown * usual_latency
         {
             return self.step_down(StepDownReason::Slow, zone, policy, now);
         }
@@ -202,7 +203,7 @@
         policy: &Policy,
         now: Micros,
     ) -> RampDecision {
-        self.step_down_doublings = (self.step_down_doublings + 1).min(policy.most_doublings);
+        self.step_down_doublings = (self.step_down_doublings + 1).min(policy.max_doublings);
         self.enter_step(self.step.saturating_sub(2), zone, now);
         RampDecision::StepDown(reason)
     }
--- a/crates/zones/src/zone_order.rs
+++ b/crates/zones/src/zone_order.rs
@@ -34,7 +34,7 @@
     /// Updates and returns the order for a router in zone `own`: first the zones that operators list in its
     /// `prefer` (only `own` if they list none), then the others by round trip, unmeasured ones last.
     pub fn order(&mut self, own: ZoneId, zones: impl Iterator<Item = ZoneId>, policy: &Policy) -> &[ZoneId] {
-        let stated = policy.of(own).map_or(&[][..], |z| &z.prefer[..]);
+        let stated = policy.zone(own).map_or(&[][..], |z| &z.prefer[..]);
         self.order.retain(|z| !stated.contains(z) && *z != own);
         let mut zones: Vec<ZoneId> = zones.filter(|z| !stated.contains(z) && *z != own).collect();
         zones.sort_unstable();
--- a/crates/zones/src/zone_state.rs
+++ b/crates/zones/src/zone_state.rs
@@ -94,7 +94,7 @@
     /// Returns the number of losses within the policy's `flap_memory` besides the latest one.
     fn earlier_losses(&self, policy: &Policy, now: Micros) -> u32 {
         let recent = self.losses.iter().filter(|at| now <= **at + policy.flap_memory).count() as u32;
-        recent.saturating_sub(1).min(policy.most_doublings)
+        recent.saturating_sub(1).min(policy.max_doublings)
     }
 
     /// Returns the time from a loss until the zone may be used again. This allows two changes of preference
--- a/crates/zones/tests/ramp_up.rs
+++ b/crates/zones/tests/ramp_up.rs
@@ -101,7 +101,7 @@
     );
     assert!(now - before >= 2 * policy.dwell, "the next stay is doubled");
     let mut ramp_up = at_step(5, &mut now);
-    (0..policy.proof).for_each(|_| ramp_up.on_attempt_ended(true, 4 * USUAL_LATENCY_MICROS as Micros));
+    (0..policy.min_answers).for_each(|_| ramp_up.on_attempt_ended(true, 4 * USUAL_LATENCY_MICROS as Micros));
     assert_eq!(
         ramp_up.decide(&healthy_zone(), &policy, USUAL_LATENCY_MICROS, now + 1),
         RampDecision::StepDown(StepDownReason::Slow)
@@ -195,7 +195,7 @@
         }
         // Once several losses are remembered, each hold is 16 s.
         let late = recoveries.iter().filter(|at| **at > START + duration / 2).count() as Micros;
-        assert!(late <= duration / 2 / (policy.hold << policy.most_doublings) + 1, "{late} late recoveries");
+        assert!(late <= duration / 2 / (policy.hold << policy.max_doublings) + 1, "{late} late recoveries");
         assert!(changes <= 2 * recoveries.len() as u64 + 1);
     }
     // Losses longer ago than the policy's `flap_memory` no longer count.
