--- a/crates/steering/benches/request_cost.rs
+++ b/crates/steering/benches/request_cost.rs
@@ -5,7 +5,7 @@
 #![allow(missing_docs)] // The macros of criterion generate functions without documentation.
 
 use beaconshore::interface::*;
-use beaconshore_steering::{Plans, Steering};
+use beaconshore_steering::{PlannerPolicies, Steering};
 use beaconshore_zones::policy::{Policy, ZonePolicy};
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
 
@@ -61,7 +61,12 @@
 
 impl Fixture {
     fn new(members: u32, policy: Option<Policy>) -> Fixture {
-        let mut steering = Steering::new(settings(), Plans { zones: policy, ..Plans::default() }, 7, START);
+        let mut steering = Steering::new(
+            settings(),
+            PlannerPolicies { zones: policy, ..PlannerPolicies::default() },
+            7,
+            START,
+        );
         let entry = |m: u32| ListEntry {
             member: MemberId(m),
             group: GroupId(m / 3),
@@ -85,16 +90,16 @@
             match action {
                 Action::Send { request, member, .. } => {
                     let role = Some(if member.0 % 3 == 1 { Role::Primary } else { Role::Replica });
-                    let note = ReplyStatus { position: Some(self.now - 5 * MS), role };
+                    let status = ReplyStatus { position: Some(self.now - 5 * MS), role };
                     let ended = Event::AttemptEnded(AttemptResult {
                         request,
                         member,
                         outcome: Outcome::Served,
-                        status: note,
+                        status,
                         duration: 40 * MS,
                         request_finished: true,
                         report: Report {
-                            position: note.position,
+                            position: status.position,
                             role,
                             utilization: Some(0.4),
                             backlog: None,
--- a/crates/zones/src/planner.rs
+++ b/crates/zones/src/planner.rs
@@ -66,7 +66,7 @@
     /// This router's limit on that work, in microseconds; none if operators stated no capacity for the zone.
     pub spill_limit: Option<f64>,
     /// How often this router has stopped using the zone or started to use it again.
-    pub turned: u64,
+    pub preference_changes: u64,
 }
 
 impl fmt::Display for ZoneStatus {
@@ -78,7 +78,7 @@
         if let Some(limit) = self.spill_limit {
             write!(f, " spilled_ms={:.0} limit_ms={:.0}", self.spilled_work / 1e3, limit / 1e3)?;
         }
-        write!(f, " turned={}", self.turned)
+        write!(f, " turned={}", self.preference_changes)
     }
 }
 
@@ -132,7 +132,7 @@
         };
         Planner {
             policy: Policy {
-                number: policy.number.filter(|_| settings.routers <= MAX_LENDING_ROUTERS),
+                router_number: policy.router_number.filter(|_| settings.routers <= MAX_LENDING_ROUTERS),
                 ..policy
             },
             staleness_bound: settings.classes.iter().filter_map(staleness_bound).min().unwrap_or(1_000_000),
@@ -191,8 +191,8 @@
                 }
             }
             Event::ProbeEnded { member, outcome, report } => {
-                if let Some((zone, took)) = self.health.on_probe_ended(*member, *outcome, now) {
-                    self.zone_order.record_round_trip(zone, took);
+                if let Some((zone, duration)) = self.health.on_probe_ended(*member, *outcome, now) {
+                    self.zone_order.record_round_trip(zone, duration);
                 }
                 if *outcome == Outcome::Served {
                     let zone = self.health.member(*member).and_then(|m| self.zones.get_mut(&m.zone));
@@ -224,7 +224,7 @@
 
     /// Takes loan messages of another router: requests for loans, and loans to this or a third router.
     fn on_loan_messages(&mut self, from: u32, messages: &[SpillLoan], now: Micros) {
-        let Some(number) = self.policy.number.filter(|number| *number != from) else { return };
+        let Some(number) = self.policy.router_number.filter(|number| *number != from) else { return };
         for message in messages {
             let limiter = self.zones.get_mut(&message.zone).and_then(|z| z.limiter.as_mut());
             let Some(limiter) = limiter else { continue };
@@ -243,7 +243,9 @@
 
     /// Asks the other routers for loans if more work wants to spill over than this router's own limits allow.
     fn request_loans(&mut self, now: Micros) {
-        if self.policy.number.is_none() || now < self.last_loan_request_at + LOAN_REQUEST_INTERVAL_MICROS {
+        if self.policy.router_number.is_none()
+            || now < self.last_loan_request_at + LOAN_REQUEST_INTERVAL_MICROS
+        {
             return;
         }
         self.last_loan_request_at = now;
@@ -297,7 +299,7 @@
     /// Returns this router's part of the limit on work that spills into a zone, in microseconds within any
     /// second.
     fn spill_limit(&self, zone: ZoneId) -> Option<f64> {
-        let stated = self.policy.of(zone).filter(|z| z.capacity > 0.0 && zone != self.settings.zone)?;
+        let stated = self.policy.zone(zone).filter(|z| z.capacity > 0.0 && zone != self.settings.zone)?;
         let outside = self.settings.routers.saturating_sub(stated.routers).max(1);
         Some(self.policy.spill_share * stated.capacity * WINDOW_MICROS as f64 / f64::from(outside))
     }
@@ -480,35 +482,30 @@
         let mut demands: Vec<ClassDemand> = (0..classes.len())
             .map(|i| ClassDemand {
                 work: self.demand.of_class(i),
-                worth_per_work: classes[i].value / classes[i].latency_target.max(1) as f64,
+                value_per_work: classes[i].value / classes[i].latency_target.max(1) as f64,
             })
             .collect();
         let mut advice = Vec::with_capacity(order.len());
         for (tier, id) in order.iter().enumerate() {
             let Some(zone) = self.zones.get_mut(id) else { continue };
-            let doubted = zone.state.is_failed();
+            let suspected = zone.state.is_failed();
             let rules = &self.settings.rules;
-            let share = zone.state.ramp_up().map_or(1.0, |ramp_up| ramp_up.share(&zone.health, rules, now));
-            let spill = zone.limiter.as_mut().map(|limiter| {
+            let read_share =
+                zone.state.ramp_up().map_or(1.0, |ramp_up| ramp_up.share(&zone.health, rules, now));
+            let spill_limit = zone.limiter.as_mut().map(|limiter| {
                 let credit = limiter.remaining(now) / MEAN_WORK_RATIO;
-                if doubted {
+                if suspected {
                     return SpillLimit { credit, class_shares: vec![1.0; demands.len()] };
                 }
                 // The shares only decide which classes come first. They may add up to a little more than the
                 // limit, because the window enforces it.
-                let (shares, _) = allocate(limiter.limit(now), &demands);
-                demands.iter_mut().zip(&shares).for_each(|(demand, share)| demand.work *= 1.0 - share);
+                let (class_shares, _) = allocate(limiter.limit(now), &demands);
+                demands.iter_mut().zip(&class_shares).for_each(|(demand, share)| demand.work *= 1.0 - share);
                 // Rounded up to steps of 0.02, so that the router is not advised of every small change.
-                let shares = shares.into_iter().map(|s| (s * 50.0).ceil() / 50.0).collect();
-                SpillLimit { credit, class_shares: shares }
-            });
-            advice.push(ZoneAdvice {
-                zone: *id,
-                tier: tier as u16,
-                suspected: doubted,
-                read_share: share,
-                spill_limit: spill,
+                let class_shares = class_shares.into_iter().map(|s| (s * 50.0).ceil() / 50.0).collect();
+                SpillLimit { credit, class_shares }
             });
+            advice.push(ZoneAdvice { zone: *id, tier: tier as u16, suspected, read_share, spill_limit });
         }
         advice
     }
@@ -555,7 +552,7 @@
     }
 
     fn zone_name(&self, zone: ZoneId) -> String {
-        let stated = self.policy.of(zone).map(|z| z.name.clone()).filter(|name| !name.is_empty());
+        let stated = self.policy.zone(zone).map(|z| z.name.clone()).filter(|name| !name.is_empty());
         stated.unwrap_or_else(|| zone.0.to_string())
     }
 
@@ -581,7 +578,7 @@
                 share: advised.map_or(1.0, |w| w.read_share),
                 spilled_work: zone.limiter.as_mut().map_or(0.0, |l| l.used(now)),
                 spill_limit: zone.limiter.as_ref().map(|l| l.limit(now)),
-                turned: zone.state.preference_changes(),
+                preference_changes: zone.state.preference_changes(),
             });
         }
         statuses.sort_by_key(|z| z.tier);
--- a/crates/zones/src/zone_order.rs
+++ b/crates/zones/src/zone_order.rs
@@ -22,19 +22,19 @@
 
 impl ZoneOrder {
     /// Records the round trip of a probe to a member of the zone.
-    pub fn record_round_trip(&mut self, zone: ZoneId, took: Micros) {
-        let average = self.round_trips.entry(zone).or_insert(took as f64);
-        *average = if (took as f64) < *average {
-            took as f64
+    pub fn record_round_trip(&mut self, zone: ZoneId, duration: Micros) {
+        let average = self.round_trips.entry(zone).or_insert(duration as f64);
+        *average = if (duration as f64) < *average {
+            duration as f64
         } else {
-            *average + ROUND_TRIP_SMOOTHING * (took as f64 - *average)
+            *average + ROUND_TRIP_SMOOTHING * (duration as f64 - *average)
         };
     }
 
     /// Updates and returns the order for a router in zone `own`: first the zones that operators list in its
     /// `prefer` (only `own` if they list none), then the others by round trip, unmeasured ones last.
     pub fn order(&mut self, own: ZoneId, zones: impl Iterator<Item = ZoneId>, policy: &Policy) -> &[ZoneId] {
-        let stated = policy.of(own).map_or(&[][..], |z| &z.prefer[..]);
+        let stated = policy.zone(own).map_or(&[][..], |z| &z.prefer[..]);
         self.order.retain(|z| !stated.contains(z) && *z != own);
         let mut zones: Vec<ZoneId> = zones.filter(|z| !stated.contains(z) && *z != own).collect();
         zones.sort_unstable();
