--- a/crates/capacity/src/size.rs
+++ b/crates/capacity/src/size.rs
@@ -1,6 +1,6 @@
 //! The size of a fleet and its budget, as an operator's file says them.
 
-use beaconshore_operator::text::{self, Problem};
+use beaconshore_operator::textproto::{self, FileError};
 
 use crate::proto::{Budget, Capacity};
 use crate::sample::Axis;
@@ -16,9 +16,9 @@
 }
 
 /// Reads a size; `file` is what errors call it.
-pub fn read(file: &str, text: &str) -> Result<Size, Problem> {
-    let capacity: Capacity = text::decode(DESCRIPTORS, "beaconshore.capacity.Capacity", file, text)?;
-    let wrong = |field: &str, reason: &str| Err(text::impossible(file, text, field, reason));
+pub fn read(file: &str, text: &str) -> Result<Size, FileError> {
+    let capacity: Capacity = textproto::decode(DESCRIPTORS, "beaconshore.capacity.Capacity", file, text)?;
+    let wrong = |field: &str, reason: &str| Err(textproto::invalid_value(file, text, field, reason));
     let counts = [
         ("drivers", u64::from(capacity.drivers)),
         ("databases", u64::from(capacity.databases)),
--- a/crates/driver/src/cli/check.rs
+++ b/crates/driver/src/cli/check.rs
@@ -23,7 +23,7 @@
             let items: Vec<_> = problems
                 .iter()
                 .map(|p| {
-                    let place = p.place.map(|place| json!({"line": place.line, "column": place.column}));
+                    let place = p.location.map(|place| json!({"line": place.line, "column": place.column}));
                     json!({"file": p.file, "place": place, "reason": p.reason})
                 })
                 .collect();
--- a/crates/driver/src/cli/diff.rs
+++ b/crates/driver/src/cli/diff.rs
@@ -28,10 +28,10 @@
     }
     let routes_of = |plans: &Plans| plans.routes.clone().unwrap_or_default();
     let (before, after) = (routes_of(old), routes_of(new));
-    if before.open != after.open {
+    if before.concurrency_limit != after.concurrency_limit {
         lines.push(format!(
             "routes.open: {:?} becomes {:?}; requests that are already open stay open",
-            before.open, after.open
+            before.concurrency_limit, after.concurrency_limit
         ));
     }
     let index_of = |routes: &[Route], name: &str| routes.iter().position(|r| r.name == name);
@@ -40,7 +40,7 @@
     }
     for (index, route) in after.routes.iter().enumerate() {
         let Some(old_index) = index_of(&before.routes, &route.name) else {
-            lines.push(format!("+ {:?}: {}", route.name, route.matches));
+            lines.push(format!("+ {:?}: {}", route.name, route.matcher));
             continue;
         };
         let old_route = &before.routes[old_index];
@@ -61,16 +61,16 @@
 /// The names of the fields that differ, with the effect of the change where there is one.
 fn differences(a: &Route, b: &Route) -> Vec<String> {
     let fields: [(&str, bool, &str); 11] = [
-        ("match", a.matches != b.matches, ""),
-        ("budget", a.budget != b.budget, ""),
-        ("attempt", a.attempt != b.attempt, ""),
-        ("attempts", a.attempts != b.attempts, ""),
-        ("pause", a.pause != b.pause, ""),
-        ("repeats", a.repeats != b.repeats, " (its budget is reset)"),
-        ("rate", a.rate != b.rate, " (its limit is reset)"),
-        ("open", a.open != b.open, " (its limit is learned again)"),
+        ("match", a.matcher != b.matcher, ""),
+        ("budget", a.request_timeout != b.request_timeout, ""),
+        ("attempt", a.attempt_timeout != b.attempt_timeout, ""),
+        ("attempts", a.max_attempts != b.max_attempts, ""),
+        ("pause", a.backoff != b.backoff, ""),
+        ("repeats", a.retry_budget != b.retry_budget, " (its budget is reset)"),
+        ("rate", a.rate_limit != b.rate_limit, " (its limit is reset)"),
+        ("open", a.concurrency_limit != b.concurrency_limit, " (its limit is learned again)"),
         ("weight", a.weight != b.weight, ""),
-        ("staleness", a.staleness != b.staleness, ""),
+        ("staleness", a.max_staleness != b.max_staleness, ""),
         ("zones", a.zones != b.zones, ""),
     ];
     fields.into_iter().filter(|p| p.1).map(|(name, _, note)| format!("{name}{note}")).collect()
--- a/crates/driver/src/cli/explain.rs
+++ b/crates/driver/src/cli/explain.rs
@@ -6,7 +6,7 @@
 use std::process::ExitCode;
 
 use beaconshore::interface::{Micros, Settings};
-use beaconshore_routes::expression::Facts;
+use beaconshore_routes::expression::RequestAttributes;
 use beaconshore_routes::Route;
 use clap::Args;
 
@@ -72,24 +72,24 @@
             plans.classes.join(", ")
         ));
     };
-    let facts = Facts {
+    let attributes = RequestAttributes {
         class: &arguments.class,
         group: arguments.group,
-        key: arguments.key,
-        session: arguments.session,
-        repeat: arguments.repeat,
+        has_key: arguments.key,
+        has_session: arguments.session,
+        is_repeat: arguments.repeat,
         client: arguments.client,
         user: &arguments.user,
         database: &arguments.database,
         statement: &arguments.statement,
     };
     for route in &plans.routes.unwrap_or_default().routes {
-        if route.matches.holds(&facts) {
-            println!("takes {:?}: {}", route.name, route.matches);
+        if route.matcher.matches(&attributes) {
+            println!("takes {:?}: {}", route.name, route.matcher);
             timeline(route, settings, class).iter().for_each(|line| println!("  {line}"));
             return Ok(ExitCode::SUCCESS);
         }
-        println!("not {:?}: {}", route.name, route.matches.failing(&facts).join("; "));
+        println!("not {:?}: {}", route.name, route.matcher.failing_tests(&attributes).join("; "));
     }
     println!("takes no route: no limits apply beyond those of its class");
     Ok(ExitCode::SUCCESS)
@@ -99,8 +99,9 @@
 fn timeline(route: &Route, settings: &Settings, class: usize) -> Vec<String> {
     let ms = |time: Micros| time / 1000;
     let deadline = settings.classes.get(class).map_or(0, |c| c.deadline);
-    let request_end = route.budget.map_or(deadline, |budget| budget.min(deadline));
-    let attempts = route.attempts.unwrap_or(settings.limits.max_attempts).min(settings.limits.max_attempts);
+    let request_end = route.request_timeout.map_or(deadline, |budget| budget.min(deadline));
+    let attempts =
+        route.max_attempts.unwrap_or(settings.limits.max_attempts).min(settings.limits.max_attempts);
     let mut lines = Vec::new();
     let mut latest_begin = 0;
     for number in 1..=attempts {
@@ -111,7 +112,7 @@
             break;
         }
         let attempt_end =
-            route.attempt.map_or(request_end, |attempt| request_end.min(latest_begin + attempt));
+            route.attempt_timeout.map_or(request_end, |attempt| request_end.min(latest_begin + attempt));
         lines.push(format!(
             "attempt {number}: begins at {} ms at the latest, ends at {} ms",
             ms(latest_begin),
@@ -120,7 +121,7 @@
         if attempt_end == request_end {
             break;
         }
-        latest_begin = attempt_end + route.pause.map_or(0, |p| p.most);
+        latest_begin = attempt_end + route.backoff.map_or(0, |p| p.max);
     }
     lines.push(format!("answered by {} ms", ms(request_end)));
     lines
--- a/crates/driver/src/config.rs
+++ b/crates/driver/src/config.rs
@@ -6,7 +6,7 @@
 
 use beaconshore_gossip::Policy as GossipPolicy;
 use beaconshore_operator::parse;
-use beaconshore_operator::text::Problem;
+use beaconshore_operator::textproto::FileError;
 use beaconshore_settings::RouterSettings;
 use beaconshore_steering::Plans;
 use beaconshore_zones::Policy;
@@ -127,13 +127,14 @@
     /// Loads an operator's file. The error lists all its problems in one line.
     fn load_operator_file(&self, path: &str) -> Result<OperatorConfig, String> {
         let text = fs::read_to_string(path).map_err(|e| format!("{path}: {e}"))?;
-        let join_problems =
-            |problems: Vec<Problem>| problems.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ");
+        let join_problems = |problems: Vec<FileError>| {
+            problems.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ")
+        };
         self.parse_operator_file(path, &text).map_err(join_problems)
     }
 
     /// Parses an operator's file for this driver; the error holds all problems found. `file` names it in the problems.
-    pub fn parse_operator_file(&self, file: &str, text: &str) -> Result<OperatorConfig, Vec<Problem>> {
+    pub fn parse_operator_file(&self, file: &str, text: &str) -> Result<OperatorConfig, Vec<FileError>> {
         let operator = parse(file, text).map_err(|e| vec![e])?;
         let (settings, protocol) = (&self.settings.module, &self.settings.protocol);
         let mut plans = Plans { classes: protocol.class_names.clone(), ..Plans::default() };
@@ -143,13 +144,13 @@
             // messages with peers, has no number and lends nothing.
             let number = self.peers.iter().position(|peer| Some(*peer) == self.peer_listen);
             let number = number.filter(|_| settings.limits.peer_messages).map(|n| n as u32);
-            match beaconshore_operator::zones(file, text, zones, &protocol.zone_names) {
+            match beaconshore_operator::zone_policy(file, text, zones, &protocol.zone_names) {
                 Ok(policy) => plans.zones = Some(Policy { number, ..policy }),
                 Err(problem) => problems.push(problem),
             }
         }
         if let Some(routes) = &operator.routes {
-            match beaconshore_operator::routes(
+            match beaconshore_operator::route_policy(
                 file,
                 text,
                 routes,
@@ -160,7 +161,8 @@
                 Err(found) => problems.extend(found),
             }
         }
-        let gossip = operator.gossip.as_ref().map(|gossip| beaconshore_operator::gossip(file, text, gossip));
+        let gossip =
+            operator.gossip.as_ref().map(|gossip| beaconshore_operator::gossip_policy(file, text, gossip));
         let gossip = gossip.transpose().unwrap_or_else(|problem| {
             problems.push(problem);
             None
--- a/crates/driver/src/peers/mod.rs
+++ b/crates/driver/src/peers/mod.rs
@@ -13,7 +13,7 @@
 
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
-use beaconshore_gossip::{Gossip, Message, PeerNumber, Send};
+use beaconshore_gossip::{AddressedMessage, Gossip, Message, PeerIndex};
 use futures_lite::future;
 
 use crate::config::Config;
@@ -62,7 +62,7 @@
     let own_address = config.peer_listen;
     let addresses = config.peers.clone();
     let own_number =
-        addresses.iter().position(|&peer| Some(peer) == own_address).map(|number| PeerNumber(number as u32));
+        addresses.iter().position(|&peer| Some(peer) == own_address).map(|number| PeerIndex(number as u32));
     let driver_count = addresses.len() as u32;
     let now = node.clock.now();
     let gossip = config.gossip.map(|policy| Gossip::new(policy, own_number, driver_count, config.seed, now));
@@ -99,7 +99,7 @@
                     let now = self.node.clock.now();
                     self.node.meter.measure(Work::PeerMessages, || {
                         let mut gossip = gossip.borrow_mut();
-                        states.into_iter().for_each(|state| gossip.learn(state, now));
+                        states.into_iter().for_each(|state| gossip.on_local_state(state, now));
                     });
                 }
                 (_, message) => self.send_message(outgoing.to, &message).await,
@@ -136,11 +136,11 @@
     async fn run_gossip(&self) {
         let Some(gossip) = &self.gossip else { return future::pending().await };
         loop {
-            let due = gossip.borrow().due();
+            let due = gossip.borrow().next_round_at();
             Timer::at(self.node.clock.instant(due)).await;
             let now = self.node.clock.now();
-            let messages = self.node.meter.measure(Work::PeerMessages, || gossip.borrow_mut().round(now));
-            for Send { to, message } in messages {
+            let messages = self.node.meter.measure(Work::PeerMessages, || gossip.borrow_mut().run_round(now));
+            for AddressedMessage { to, message } in messages {
                 let message = match message {
                     Message::States(states) => PeerMessage::MemberStates(states),
                     Message::Digest(digest) => PeerMessage::Digest(digest),
@@ -196,13 +196,13 @@
     fn accept(&self, from: u32, message: PeerMessage, module: &DecisionHandle) -> Option<()> {
         let message = match (message, &self.gossip) {
             (PeerMessage::Digest(digest), Some(gossip)) => {
-                gossip.borrow_mut().on_digest(PeerNumber(from), &digest);
+                gossip.borrow_mut().on_peer_digest(PeerIndex(from), &digest);
                 return Some(());
             }
             // The sender uses gossip and this driver does not, so there is nothing to compare the digest with.
             (PeerMessage::Digest(_), None) => return None,
             (PeerMessage::MemberStates(states), Some(gossip)) => {
-                let changed = gossip.borrow_mut().on_states(&states, self.node.clock.now());
+                let changed = gossip.borrow_mut().on_peer_states(&states, self.node.clock.now());
                 PeerMessage::MemberStates(changed)
             }
             (message, _) => message,
--- a/crates/emulator/src/experiment.rs
+++ b/crates/emulator/src/experiment.rs
@@ -4,7 +4,7 @@
     Class, Consistency, DedupScope, DiscoveryMode, Effect, LagCheck, Limits, Micros, RuleParameters,
     SessionTracking, Settings, ZoneId,
 };
-use beaconshore_operator::text::{self, impossible, Problem};
+use beaconshore_operator::textproto::{self, invalid_value, FileError};
 
 use crate::plan::{
     ClassPlan, ClientPlan, DiscoveryPlan, Fault, GroupPlan, Leave, MemberPlan, Plan, RouterPlan, Strike,
@@ -20,9 +20,9 @@
 const MOST_REQUESTS: f64 = 20e6;
 
 /// Reads an experiment; `file` is what errors call it.
-pub fn read(file: &str, text: &str) -> Result<Plan, Problem> {
+pub fn read(file: &str, text: &str) -> Result<Plan, FileError> {
     let experiment: proto::Experiment =
-        text::decode(DESCRIPTORS, "beaconshore.experiment.Experiment", file, text)?;
+        textproto::decode(DESCRIPTORS, "beaconshore.experiment.Experiment", file, text)?;
     Reader { file, text, e: &experiment }.plan()
 }
 
@@ -42,10 +42,10 @@
 }
 
 /// Reads an experiment at another size.
-pub fn read_sized(file: &str, text: &str, size: &Size) -> Result<Plan, Problem> {
+pub fn read_sized(file: &str, text: &str, size: &Size) -> Result<Plan, FileError> {
     let mut experiment: proto::Experiment =
-        text::decode(DESCRIPTORS, "beaconshore.experiment.Experiment", file, text)?;
-    size.apply(&mut experiment).map_err(|reason| Problem { file: file.into(), place: None, reason })?;
+        textproto::decode(DESCRIPTORS, "beaconshore.experiment.Experiment", file, text)?;
+    size.apply(&mut experiment).map_err(|reason| FileError { file: file.into(), location: None, reason })?;
     Reader { file, text, e: &experiment }.plan()
 }
 
@@ -98,37 +98,37 @@
 }
 
 impl Reader<'_> {
-    fn wrong(&self, field: &str, reason: impl AsRef<str>) -> Problem {
-        impossible(self.file, self.text, field, reason.as_ref())
+    fn wrong(&self, field: &str, reason: impl AsRef<str>) -> FileError {
+        invalid_value(self.file, self.text, field, reason.as_ref())
     }
 
     /// A number that must lie within bounds.
-    fn within(&self, field: &str, value: f64, least: f64, most: f64) -> Result<f64, Problem> {
+    fn within(&self, field: &str, value: f64, least: f64, most: f64) -> Result<f64, FileError> {
         if value >= least && value <= most {
             return Ok(value);
         }
         Err(self.wrong(field, format!("is {value}, must be from {least} to {most}")))
     }
 
-    fn zone(&self, field: &str, name: &str) -> Result<usize, Problem> {
+    fn zone(&self, field: &str, name: &str) -> Result<usize, FileError> {
         let names = || self.e.zone.iter().map(|z| z.name.as_str()).collect::<Vec<_>>().join(", ");
         let found = self.e.zone.iter().position(|z| z.name == name);
         found.ok_or_else(|| self.wrong(field, format!("no zone {name:?}; there are {}", names())))
     }
 
-    fn zones(&self, field: &str, names: &[String]) -> Result<Vec<usize>, Problem> {
+    fn zones(&self, field: &str, names: &[String]) -> Result<Vec<usize>, FileError> {
         names.iter().enumerate().map(|(i, name)| self.zone(&format!("{field}[{i}]"), name)).collect()
     }
 
     /// Named zones, or all.
-    fn zones_or_all(&self, field: &str, names: &[String]) -> Result<Vec<usize>, Problem> {
+    fn zones_or_all(&self, field: &str, names: &[String]) -> Result<Vec<usize>, FileError> {
         match names.is_empty() {
             true => Ok((0..self.e.zone.len()).collect()),
             false => self.zones(field, names),
         }
     }
 
-    fn plan(&self) -> Result<Plan, Problem> {
+    fn plan(&self) -> Result<Plan, FileError> {
         let e = self.e;
         if e.zone.is_empty() || e.zone.len() > 64 {
             return Err(self.wrong("zone", "1 to 64 zones are needed"));
@@ -162,7 +162,7 @@
         }
         let names: Vec<String> = e.zone.iter().map(|z| z.name.clone()).collect();
         let policy = match &e.zones {
-            Some(zones) => Some(beaconshore_operator::zones(self.file, self.text, zones, &names)?),
+            Some(zones) => Some(beaconshore_operator::zone_policy(self.file, self.text, zones, &names)?),
             None => None,
         };
         let settings = Settings {
@@ -211,15 +211,16 @@
         &self,
         settings: &Settings,
         classes: &[ClassPlan],
-    ) -> Result<Option<beaconshore_routes::Policy>, Problem> {
+    ) -> Result<Option<beaconshore_routes::Policy>, FileError> {
         let Some(routes) = &self.e.routes else { return Ok(None) };
         let classes: Vec<String> = classes.iter().map(|c| c.name.clone()).collect();
         let zones: Vec<String> = self.e.zone.iter().map(|z| z.name.clone()).collect();
-        let read = beaconshore_operator::routes(self.file, self.text, routes, settings, (&classes, &zones));
+        let read =
+            beaconshore_operator::route_policy(self.file, self.text, routes, settings, (&classes, &zones));
         read.map(Some).map_err(|mut problems| problems.remove(0))
     }
 
-    fn delays(&self) -> Result<Vec<Vec<f64>>, Problem> {
+    fn delays(&self) -> Result<Vec<Vec<f64>>, FileError> {
         let e = self.e;
         let usual = self.within("round_trip_ms", e.round_trip_ms.unwrap_or(2.0), 0.01, 1_000.0)?;
         let near = self.within("near_ms", e.near_ms.unwrap_or(0.3), 0.01, 1_000.0)?;
@@ -237,7 +238,7 @@
         Ok(delays)
     }
 
-    fn groups(&self) -> Result<GroupPlan, Problem> {
+    fn groups(&self) -> Result<GroupPlan, FileError> {
         let missing = || self.wrong("groups", "is needed: count and members");
         let g = self.e.groups.as_ref().ok_or_else(missing)?;
         let all = f64::from(g.count) * f64::from(g.members);
@@ -272,7 +273,7 @@
         })
     }
 
-    fn members(&self) -> Result<MemberPlan, Problem> {
+    fn members(&self) -> Result<MemberPlan, FileError> {
         let m = self.e.members.unwrap_or_default();
         let within = |name: &str, value: f64, least: f64, most: f64| {
             self.within(&format!("members.{name}"), value, least, most)
@@ -290,14 +291,14 @@
         })
     }
 
-    fn classes(&self) -> Result<Vec<ClassPlan>, Problem> {
+    fn classes(&self) -> Result<Vec<ClassPlan>, FileError> {
         if self.e.class.is_empty() || self.e.class.len() > 64 {
             return Err(self.wrong("class", "1 to 64 classes are needed"));
         }
         self.e.class.iter().enumerate().map(|(i, c)| self.class(i, c)).collect()
     }
 
-    fn class(&self, i: usize, c: &proto::Class) -> Result<ClassPlan, Problem> {
+    fn class(&self, i: usize, c: &proto::Class) -> Result<ClassPlan, FileError> {
         use proto::class::{Effect as E, Read};
         let within = |name: &str, value: f64, least: f64, most: f64| {
             self.within(&format!("class[{i}].{name}"), value, least, most)
@@ -340,7 +341,7 @@
         })
     }
 
-    fn clients(&self) -> Result<ClientPlan, Problem> {
+    fn clients(&self) -> Result<ClientPlan, FileError> {
         let c = self.e.clients.ok_or_else(|| self.wrong("clients", "is needed: rate"))?;
         let within = |name: &str, value: f64, least: f64, most: f64| {
             self.within(&format!("clients.{name}"), value, least, most)
@@ -356,7 +357,7 @@
         })
     }
 
-    fn routers(&self) -> Result<RouterPlan, Problem> {
+    fn routers(&self) -> Result<RouterPlan, FileError> {
         let r = self.e.routers.ok_or_else(|| self.wrong("routers", "is needed: per_zone"))?;
         let most = (MOST_ROUTERS / self.e.zone.len()) as f64;
         Ok(RouterPlan {
@@ -367,7 +368,7 @@
         })
     }
 
-    fn discovery(&self) -> Result<DiscoveryPlan, Problem> {
+    fn discovery(&self) -> Result<DiscoveryPlan, FileError> {
         let d = self.e.discovery.unwrap_or_default();
         let time = |name: &str, value: Option<f64>, default: f64| {
             self.within(&format!("discovery.{name}"), value.unwrap_or(default), 0.0, 600_000.0).map(micros)
@@ -384,7 +385,7 @@
         Ok(plan)
     }
 
-    fn rules(&self) -> Result<(RuleParameters, Micros), Problem> {
+    fn rules(&self) -> Result<(RuleParameters, Micros), FileError> {
         let r = self.e.rules.unwrap_or_default();
         let figures = RuleParameters {
             resubscribe_within: 10 * SECOND,
@@ -402,14 +403,14 @@
         Ok((figures, r.drain_ms.unwrap_or(500).saturating_mul(1000)))
     }
 
-    fn struck(&self, field: &str, zones: &[String], share: Option<f64>) -> Result<Struck, Problem> {
+    fn struck(&self, field: &str, zones: &[String], share: Option<f64>) -> Result<Struck, FileError> {
         Ok(Struck {
             zones: self.zones_or_all(&format!("{field}.zone"), zones)?,
             share: self.within(&format!("{field}.share"), share.unwrap_or(1.0), 0.0, 1.0)?,
         })
     }
 
-    fn strike(&self, i: usize, f: &proto::Fault) -> Result<Strike, Problem> {
+    fn strike(&self, i: usize, f: &proto::Fault) -> Result<Strike, FileError> {
         use proto::fault::What;
         let field = |name: &str| format!("fault[{i}].{name}");
         let time = |name: &str, s: Option<f64>| {
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -19,5 +19,5 @@
 pub use budget::ByteBudget;
 pub use digest::{Digest, BUCKETS};
 pub use policy::{Policy, PolicyError};
-pub use protocol::{Gossip, Message, PeerNumber, Send};
+pub use protocol::{AddressedMessage, Gossip, Message, PeerIndex};
 pub use state::{MemberState, MemberTag, StateTable, Update};
--- a/crates/gossip/src/protocol.rs
+++ b/crates/gossip/src/protocol.rs
@@ -34,7 +34,7 @@
 
 /// A router, identified by its index in the list of peers. The list is the same for all routers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct PeerNumber(pub u32);
+pub struct PeerIndex(pub u32);
 
 /// A message between two routers.
 #[derive(Clone, Debug, PartialEq)]
@@ -47,9 +47,9 @@
 
 /// A message with its receiver.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Send {
+pub struct AddressedMessage {
     /// The receiver.
-    pub to: PeerNumber,
+    pub to: PeerIndex,
     /// The message.
     pub message: Message,
 }
@@ -81,7 +81,7 @@
 pub struct Gossip {
     policy: Policy,
     /// This router's index in the list of peers, if it is in the list.
-    own: Option<PeerNumber>,
+    own: Option<PeerIndex>,
     router_count: u32,
     table: StateTable,
     /// Roles that are still being spread.
@@ -89,7 +89,7 @@
     /// Members whose position has not been sent yet, with the time at which it was learnt.
     unsent_positions: BTreeMap<MemberTag, Micros>,
     /// Answers to digests that wait to be sent, the oldest first: the peer, and the buckets that differ.
-    pending_replies: Vec<(PeerNumber, Vec<usize>)>,
+    pending_replies: Vec<(PeerIndex, Vec<usize>)>,
     budget: ByteBudget,
     next_round_at: Micros,
     next_digest_at: Micros,
@@ -99,7 +99,7 @@
 impl Gossip {
     /// Creates the protocol of router `own` among `router_count` routers; `own` is `None` if this router is not in
     /// the list of peers. All random choices follow from the seed.
-    pub fn new(policy: Policy, own: Option<PeerNumber>, router_count: u32, seed: u64, now: Micros) -> Self {
+    pub fn new(policy: Policy, own: Option<PeerIndex>, router_count: u32, seed: u64, now: Micros) -> Self {
         Gossip {
             policy,
             own,
@@ -117,7 +117,7 @@
     }
 
     /// Takes a state that this router learnt from the member itself.
-    pub fn learn(&mut self, state: MemberState, now: Micros) {
+    pub fn on_local_state(&mut self, state: MemberState, now: Micros) {
         match self.table.update(state, now) {
             Update::Known => {}
             Update::Position => {
@@ -130,7 +130,7 @@
 
     /// Takes states from a peer, and returns those that are news to this router. Roles that are news are forwarded to
     /// other peers; positions are not.
-    pub fn on_states(&mut self, states: &[MemberState], now: Micros) -> Vec<MemberState> {
+    pub fn on_peer_states(&mut self, states: &[MemberState], now: Micros) -> Vec<MemberState> {
         let mut news = Vec::new();
         for state in states {
             let update = self.table.update(*state, now);
@@ -162,7 +162,7 @@
     }
 
     /// Takes a digest from a peer. The states of the buckets that differ are sent to the peer in the next round.
-    pub fn on_digest(&mut self, from: PeerNumber, digest: &Digest) {
+    pub fn on_peer_digest(&mut self, from: PeerIndex, digest: &Digest) {
         let differing: Vec<usize> = self.table.digest().differing(digest).collect();
         let is_pending = self.pending_replies.iter().any(|(peer, _)| *peer == from);
         if !differing.is_empty() && !is_pending && self.pending_replies.len() < MAX_PENDING_REPLIES {
@@ -171,12 +171,12 @@
     }
 
     /// Time at which the next round is due.
-    pub fn due(&self) -> Micros {
+    pub fn next_round_at(&self) -> Micros {
         self.next_round_at
     }
 
     /// Runs a round if one is due, and returns the messages to send.
-    pub fn round(&mut self, now: Micros) -> Vec<Send> {
+    pub fn run_round(&mut self, now: Micros) -> Vec<AddressedMessage> {
         if now < self.next_round_at {
             return Vec::new();
         }
@@ -208,7 +208,7 @@
     }
 
     /// Sends either first roles or changes of role; those that were sent least come first.
-    fn send_roles(&mut self, first_roles: bool, reserve_percent: u64, sends: &mut Vec<Send>) {
+    fn send_roles(&mut self, first_roles: bool, reserve_percent: u64, sends: &mut Vec<AddressedMessage>) {
         let selected = self.rumours.iter().filter(|(_, rumour)| rumour.is_first_role == first_roles);
         let mut order: Vec<(u32, MemberTag)> = selected.map(|(tag, rumour)| (rumour.age, *tag)).collect();
         order.sort_unstable();
@@ -221,7 +221,7 @@
 
     /// Sends positions, the newest first. Each position is sent in one round only, and dropped unsent if it has
     /// become too old to be of use for a read.
-    fn send_positions(&mut self, now: Micros, sends: &mut Vec<Send>) {
+    fn send_positions(&mut self, now: Micros, sends: &mut Vec<AddressedMessage>) {
         let oldest_useful = now.saturating_sub(2 * self.policy.round_period);
         self.unsent_positions.retain(|_, learnt| *learnt >= oldest_useful);
         let mut order: Vec<(Micros, MemberTag)> =
@@ -235,7 +235,7 @@
     }
 
     /// Sends states to random peers as far as the budget allows, and returns whether any message was sent.
-    fn push(&mut self, tags: &[MemberTag], reserve_percent: u64, sends: &mut Vec<Send>) -> bool {
+    fn push(&mut self, tags: &[MemberTag], reserve_percent: u64, sends: &mut Vec<AddressedMessage>) -> bool {
         let states: Vec<MemberState> = tags.iter().filter_map(|tag| self.table.state(*tag)).collect();
         if states.is_empty() {
             return false;
@@ -246,13 +246,13 @@
             if !self.budget.try_take(message.bytes(), reserve_percent) {
                 break;
             }
-            sends.push(Send { to, message: message.clone() });
+            sends.push(AddressedMessage { to, message: message.clone() });
         }
         sends.len() > sent_before
     }
 
     /// Answers digests of peers with the states in the buckets that differ, as far as the budget allows.
-    fn answer_digests(&mut self, sends: &mut Vec<Send>) {
+    fn answer_digests(&mut self, sends: &mut Vec<AddressedMessage>) {
         for (to, buckets) in std::mem::take(&mut self.pending_replies) {
             let tags = buckets.into_iter().flat_map(|bucket| self.table.members_with_role(bucket));
             let states: Vec<MemberState> = tags.filter_map(|tag| self.table.state(tag)).collect();
@@ -262,13 +262,13 @@
                     // The budget is spent. The next comparison of digests finds the remaining states.
                     return;
                 }
-                sends.push(Send { to, message });
+                sends.push(AddressedMessage { to, message });
             }
         }
     }
 
     /// Sends the digest to one random peer if that is due, to get the states that this router lacks.
-    fn send_digest(&mut self, now: Micros, sends: &mut Vec<Send>) {
+    fn send_digest(&mut self, now: Micros, sends: &mut Vec<AddressedMessage>) {
         if now < self.next_digest_at {
             return;
         }
@@ -276,17 +276,17 @@
         let Some(to) = self.choose_peers(1).pop() else { return };
         if self.budget.try_take(message.bytes(), SYNC_RESERVE_PERCENT) {
             self.next_digest_at = now + DIGEST_PERIOD_US;
-            sends.push(Send { to, message });
+            sends.push(AddressedMessage { to, message });
         }
     }
 
     /// Chooses random peers: different ones, and never this router itself.
-    fn choose_peers(&mut self, count: usize) -> Vec<PeerNumber> {
+    fn choose_peers(&mut self, count: usize) -> Vec<PeerIndex> {
         let others = (self.router_count as usize).saturating_sub(usize::from(self.own.is_some()));
         let picked = index::sample(&mut self.random, others, count.min(others));
         let skip_own = |number: usize| match self.own {
-            Some(PeerNumber(own)) if number as u32 >= own => PeerNumber(number as u32 + 1),
-            _ => PeerNumber(number as u32),
+            Some(PeerIndex(own)) if number as u32 >= own => PeerIndex(number as u32 + 1),
+            _ => PeerIndex(number as u32),
         };
         picked.into_iter().map(skip_own).collect()
     }
--- a/crates/gossip/tests/dissemination.rs
+++ b/crates/gossip/tests/dissemination.rs
@@ -1,7 +1,9 @@
 //! Simulates fleets of routers that gossip, in virtual time, with messages lost or blocked by a partition.
 
 use beaconshore::interface::{Micros, Role};
-use beaconshore_gossip::{Digest, Gossip, MemberState, MemberTag, Message, PeerNumber, Policy, Send};
+use beaconshore_gossip::{
+    AddressedMessage, Digest, Gossip, MemberState, MemberTag, Message, PeerIndex, Policy,
+};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -37,8 +39,8 @@
     fn new(count: u32, loss: f64, seed: u64) -> Fleet {
         let router = |n| {
             let seed = seed << 16 | u64::from(n);
-            let mut router = Gossip::new(Policy::default(), Some(PeerNumber(n)), count, seed, START);
-            router.learn(state(CHANGING_MEMBER, START, Role::Replica), START);
+            let mut router = Gossip::new(Policy::default(), Some(PeerIndex(n)), count, seed, START);
+            router.on_local_state(state(CHANGING_MEMBER, START, Role::Replica), START);
             router
         };
         Fleet {
@@ -61,7 +63,7 @@
             self.now += TICK;
             for from in 0..self.routers.len() {
                 news(&mut self.routers[from], from as u32, self.now, &mut self.random);
-                for Send { to, message } in self.routers[from].round(self.now) {
+                for AddressedMessage { to, message } in self.routers[from].run_round(self.now) {
                     self.deliver(from as u32, to.0, &message);
                 }
             }
@@ -76,10 +78,10 @@
         }
         self.received_bytes[to as usize] += message.bytes();
         match message {
-            Message::Digest(digest) => self.routers[to as usize].on_digest(PeerNumber(from), digest),
+            Message::Digest(digest) => self.routers[to as usize].on_peer_digest(PeerIndex(from), digest),
             Message::States(states) => {
                 assert!(states.len() <= 31, "{} states do not fit in a datagram", states.len());
-                let news = self.routers[to as usize].on_states(states, self.now);
+                let news = self.routers[to as usize].on_peer_states(states, self.now);
                 if news.contains(&self.watched) {
                     self.heard[to as usize].get_or_insert(self.now);
                 }
@@ -92,7 +94,7 @@
         self.watched = state(CHANGING_MEMBER, self.now, Role::Primary);
         self.heard = vec![None; self.routers.len()];
         self.heard[at as usize] = Some(self.now);
-        self.routers[at as usize].learn(self.watched, self.now);
+        self.routers[at as usize].on_local_state(self.watched, self.now);
     }
 
     /// Time within which this share of the routers heard of the watched change. `None` if fewer of them did.
@@ -116,7 +118,7 @@
         for _ in 0..20 {
             let member = random.random_range(0..members);
             let role = if member % 3 == 0 { Role::Primary } else { Role::Replica };
-            router.learn(state(member, now, role), now);
+            router.on_local_state(state(member, now, role), now);
         }
     }
 }
@@ -158,7 +160,7 @@
 fn a_restarted_router_learns_all_roles_from_its_peers() {
     let mut fleet = Fleet::new(60, 0.1, 5);
     fleet.simulate(30 * SECOND, heavy_traffic(300));
-    let restarted = Gossip::new(Policy::default(), Some(PeerNumber(3)), 60, 99, fleet.now);
+    let restarted = Gossip::new(Policy::default(), Some(PeerIndex(3)), 60, 99, fleet.now);
     fleet.routers[3] = restarted;
     assert_eq!(fleet.routers[3].sizes().0, 0);
     let others_only = |router: &mut Gossip, n: u32, now: Micros, random: &mut ChaCha8Rng| {
@@ -190,12 +192,13 @@
 /// Guards against a late message that reverts a role.
 #[test]
 fn older_evidence_never_replaces_newer_evidence() {
-    let mut router = Gossip::new(Policy::default(), Some(PeerNumber(0)), 3, 1, START);
+    let mut router = Gossip::new(Policy::default(), Some(PeerIndex(0)), 3, 1, START);
     let (old, new) = (state(1, START, Role::Primary), state(1, START + SECOND, Role::Replica));
-    assert_eq!(router.on_states(&[new], START), [new]);
-    assert_eq!(router.on_states(&[old], START), []);
-    let sent = router.round(START);
-    let has_new_state = |send: &Send| matches!(&send.message, Message::States(states) if states[..] == [new]);
+    assert_eq!(router.on_peer_states(&[new], START), [new]);
+    assert_eq!(router.on_peer_states(&[old], START), []);
+    let sent = router.run_round(START);
+    let has_new_state =
+        |send: &AddressedMessage| matches!(&send.message, Message::States(states) if states[..] == [new]);
     assert!(sent.iter().any(has_new_state), "{sent:?}");
 }
 
@@ -203,41 +206,41 @@
 #[test]
 fn changes_of_role_have_priority_over_positions_when_the_budget_is_short() {
     let policy = Policy { bytes_per_second: 128, ..Policy::default() };
-    let mut router = Gossip::new(policy, Some(PeerNumber(0)), 50, 1, START);
-    (0..100).for_each(|m| router.learn(state(m, START, Role::Replica), START));
+    let mut router = Gossip::new(policy, Some(PeerIndex(0)), 50, 1, START);
+    (0..100).for_each(|m| router.on_local_state(state(m, START, Role::Replica), START));
     // All news is sent, and the bytes saved in the bucket are spent.
     let mut now = START;
     while router.sizes().1 > 0 {
         now += SECOND;
-        router.round(now);
+        router.run_round(now);
     }
-    (0..100).for_each(|m| router.learn(state(m, now, Role::Replica), now));
-    (100..200).for_each(|m| router.learn(state(m, now, Role::Replica), now));
+    (0..100).for_each(|m| router.on_local_state(state(m, now, Role::Replica), now));
+    (100..200).for_each(|m| router.on_local_state(state(m, now, Role::Replica), now));
     let change = state(7, now + 1, Role::Primary);
-    router.learn(change, now);
+    router.on_local_state(change, now);
     now += SECOND;
-    let first = router.round(now).remove(0);
+    let first = router.run_round(now).remove(0);
     assert_eq!(first.message, Message::States(vec![change]));
 }
 
 /// Guards against unbounded memory or traffic when peers send very many members or digests.
 #[test]
 fn a_flood_of_members_and_digests_is_bounded() {
-    let mut router = Gossip::new(Policy::default(), Some(PeerNumber(0)), 500, 1, START);
-    (0..100_000).for_each(|m| router.learn(state(m, START, Role::Replica), START));
+    let mut router = Gossip::new(Policy::default(), Some(PeerIndex(0)), 500, 1, START);
+    (0..100_000).for_each(|m| router.on_local_state(state(m, START, Role::Replica), START));
     assert!(router.sizes().0 <= 8_192);
-    (1..400).for_each(|peer| router.on_digest(PeerNumber(peer), &Digest::default()));
-    let bytes: usize = router.round(START).iter().map(|send| send.message.bytes()).sum();
+    (1..400).for_each(|peer| router.on_peer_digest(PeerIndex(peer), &Digest::default()));
+    let bytes: usize = router.run_round(START).iter().map(|send| send.message.bytes()).sum();
     assert!(bytes <= 2 * 960, "{bytes} bytes in one round");
     // No news of any member for longer than the expiry time.
-    router.round(START + 700 * SECOND);
+    router.run_round(START + 700 * SECOND);
     assert_eq!(router.sizes().0, 0);
 }
 
 /// Guards against a router that sends to itself, or panics, when it has no peers.
 #[test]
 fn a_single_router_sends_nothing() {
-    let mut router = Gossip::new(Policy::default(), Some(PeerNumber(0)), 1, 1, START);
-    router.learn(state(1, START, Role::Primary), START);
-    assert_eq!(router.round(START), []);
+    let mut router = Gossip::new(Policy::default(), Some(PeerIndex(0)), 1, 1, START);
+    router.on_local_state(state(1, START, Role::Primary), START);
+    assert_eq!(router.run_round(START), []);
 }
--- a/crates/lab/src/scale.rs
+++ b/crates/lab/src/scale.rs
@@ -111,7 +111,8 @@
         Some(path) => read_operator(path)?,
         None => Operator::default(),
     };
-    let gossip = operator.gossip.as_ref().map(|g| beaconshore_operator::gossip("operator's file", "", g));
+    let gossip =
+        operator.gossip.as_ref().map(|g| beaconshore_operator::gossip_policy("operator's file", "", g));
     let gossip = gossip.transpose().map_err(|e| e.to_string())?;
     let at = |e: io::Error| format!("{}: {e}", request.output.display());
     let logs = request.output.join("logs");
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -6,12 +6,12 @@
 
 mod gossip;
 mod routes;
-pub mod text;
+pub mod textproto;
 mod zones;
 
-pub use gossip::gossip;
-pub use routes::routes;
-pub use zones::zones;
+pub use gossip::gossip_policy;
+pub use routes::route_policy;
+pub use zones::zone_policy;
 
 /// The messages of the schema, as generated types.
 #[allow(missing_docs)] // Generated types; the schema documents each field.
@@ -23,6 +23,6 @@
 pub const DESCRIPTORS: &[u8] = include_bytes!(concat!(env!("OUT_DIR"), "/operator.bin"));
 
 /// Decodes an operator's file. `file` is its name in errors.
-pub fn parse(file: &str, text: &str) -> Result<proto::Operator, text::Problem> {
-    text::decode(DESCRIPTORS, "beaconshore.operator.Operator", file, text)
+pub fn parse(file: &str, text: &str) -> Result<proto::Operator, textproto::FileError> {
+    textproto::decode(DESCRIPTORS, "beaconshore.operator.Operator", file, text)
 }
--- a/crates/operator/src/routes.rs
+++ b/crates/operator/src/routes.rs
@@ -4,10 +4,10 @@
 
 use beaconshore::interface::{Micros, Settings, ZoneId};
 use beaconshore_routes::expression::Matcher;
-use beaconshore_routes::policy::{OpenLimit, Pause, Policy, RateLimit, Route};
+use beaconshore_routes::policy::{Backoff, ConcurrencyBounds, Policy, RateLimit, Route};
 
 use crate::proto;
-use crate::text::{impossible, Problem};
+use crate::textproto::{invalid_value, FileError};
 
 /// Divisor of a rate for the default burst: the requests of a tenth of a second.
 const DEFAULT_BURST_DIVISOR: u32 = 10;
@@ -15,29 +15,30 @@
 /// Converts and validates the `routes` message of a file, for a site with these settings. The last argument holds the
 /// names of the settings' classes and zones, by index; `file` and `text` are the name and the content of the file, for
 /// errors.
-pub fn routes(
+pub fn route_policy(
     file: &str,
     text: &str,
     routes: &proto::Routes,
     settings: &Settings,
     (classes, zones): (&[String], &[String]),
-) -> Result<Policy, Vec<Problem>> {
+) -> Result<Policy, Vec<FileError>> {
     let mut problems = Vec::new();
-    let mut policy = Policy { routes: Vec::with_capacity(routes.route.len()), open: routes.open };
+    let mut policy =
+        Policy { routes: Vec::with_capacity(routes.route.len()), concurrency_limit: routes.open };
     for (i, route) in routes.route.iter().enumerate() {
         let mut report = |field: &str, reason: String| {
-            problems.push(impossible(file, text, &format!("routes.route[{i}].{field}"), &reason));
+            problems.push(invalid_value(file, text, &format!("routes.route[{i}].{field}"), &reason));
         };
-        let matches = Matcher::parse(&route.r#match).unwrap_or_else(|e| {
+        let matcher = Matcher::parse(&route.r#match).unwrap_or_else(|e| {
             report("match", e.to_string());
             // An expression that matches nothing, so that no further problem follows from it.
             Matcher::Not(Box::new(Matcher::Always))
         });
-        let converted = convert_route(route, matches, zones, &mut report);
+        let converted = convert_route(route, matcher, zones, &mut report);
         policy.routes.push(converted);
     }
     for finding in policy.findings(settings, classes) {
-        problems.push(impossible(file, text, &format!("routes.{}", finding.field), &finding.reason));
+        problems.push(invalid_value(file, text, &format!("routes.{}", finding.field), &finding.reason));
     }
     if problems.is_empty() {
         Ok(policy)
@@ -46,10 +47,10 @@
     }
 }
 
-/// Converts one route of the file, whose match was parsed to `matches`.
+/// Converts one route of the file, whose match was parsed to `matcher`.
 fn convert_route(
     route: &proto::Route,
-    matches: Matcher,
+    matcher: Matcher,
     zones: &[String],
     report: &mut dyn FnMut(&str, String),
 ) -> Route {
@@ -64,7 +65,7 @@
             ),
         }
     }
-    let rate = route.rate.and_then(|rate| {
+    let rate_limit = route.rate.and_then(|rate| {
         let burst = rate.burst.unwrap_or((rate.per_second / DEFAULT_BURST_DIVISOR).max(1));
         let limit = NonZeroU32::new(rate.per_second).zip(NonZeroU32::new(burst));
         if limit.is_none() {
@@ -73,21 +74,21 @@
         limit.map(|(per_second, burst)| RateLimit { per_second, burst })
     });
     Route {
-        budget: route.budget_ms.map(micros),
-        attempt: route.attempt_ms.map(micros),
-        attempts: route.attempts,
-        pause: route.pause.map(|p| Pause { least: micros(p.least_ms), most: micros(p.most_ms) }),
-        repeats: route.repeats.map(|r| (r.share, r.floor.unwrap_or(1.0))),
-        rate,
-        open: route.open.map(|o| OpenLimit {
-            least: o.least.unwrap_or(4),
-            most: o.most.unwrap_or(1000),
+        request_timeout: route.budget_ms.map(micros),
+        attempt_timeout: route.attempt_ms.map(micros),
+        max_attempts: route.attempts,
+        backoff: route.pause.map(|p| Backoff { min: micros(p.least_ms), max: micros(p.most_ms) }),
+        retry_budget: route.repeats.map(|r| (r.share, r.floor.unwrap_or(1.0))),
+        rate_limit,
+        concurrency_limit: route.open.map(|o| ConcurrencyBounds {
+            min: o.least.unwrap_or(4),
+            max: o.most.unwrap_or(1000),
             tolerance: o.tolerance.unwrap_or(2.0),
         }),
         weight: route.weight.unwrap_or(1.0),
-        staleness: route.staleness_ms.map(micros),
+        max_staleness: route.staleness_ms.map(micros),
         zones: zone_ids,
-        ..Route::new(&route.name, matches)
+        ..Route::new(&route.name, matcher)
     }
 }
 
@@ -118,7 +119,7 @@
         let file = parse("op", text).map_err(|e| vec![e.to_string()])?;
         let names: [Vec<String>; 2] =
             [["view", "log"].map(String::from).into(), vec!["a".into(), "b".into()]];
-        routes("op", text, &file.routes.unwrap(), &settings, (&names[0], &names[1]))
+        route_policy("op", text, &file.routes.unwrap(), &settings, (&names[0], &names[1]))
             .map_err(|problems| problems.iter().map(ToString::to_string).collect())
     }
 
@@ -130,10 +131,13 @@
             rate { per_second: 50 } open { most: 7 } repeats { share: 0.2 } zone: 'b' } }";
         let policy = parse_routes(text).unwrap();
         let route = &policy.routes[0];
-        assert_eq!((policy.open, route.budget, route.attempt), (Some(9), Some(900_000), Some(200_000)));
-        assert_eq!(route.rate.unwrap().burst.get(), 5);
-        assert_eq!(route.open, Some(OpenLimit { least: 4, most: 7, tolerance: 2.0 }));
-        assert_eq!((route.repeats, &route.zones[..]), (Some((0.2, 1.0)), &[ZoneId(1)][..]));
+        assert_eq!(
+            (policy.concurrency_limit, route.request_timeout, route.attempt_timeout),
+            (Some(9), Some(900_000), Some(200_000))
+        );
+        assert_eq!(route.rate_limit.unwrap().burst.get(), 5);
+        assert_eq!(route.concurrency_limit, Some(ConcurrencyBounds { min: 4, max: 7, tolerance: 2.0 }));
+        assert_eq!((route.retry_budget, &route.zones[..]), (Some((0.2, 1.0)), &[ZoneId(1)][..]));
     }
 
     /// Guards against reporting only the first problem, and against a problem with a wrong place.
--- a/crates/operator/src/text.rs
+++ b/crates/operator/src/textproto.rs
@@ -20,25 +20,25 @@
 
 /// An error in a file, with its place and a remedy.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Problem {
+pub struct FileError {
     /// Name of the file.
     pub file: String,
     /// Where the error is, if it has one place.
-    pub place: Option<Location>,
+    pub location: Option<Location>,
     /// What is wrong, and what would be valid.
     pub reason: String,
 }
 
-impl fmt::Display for Problem {
+impl fmt::Display for FileError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self.place {
+        match self.location {
             Some(Location { line, column }) => write!(f, "{}:{line}:{column}: {}", self.file, self.reason),
             None => write!(f, "{}: {}", self.file, self.reason),
         }
     }
 }
 
-impl std::error::Error for Problem {}
+impl std::error::Error for FileError {}
 
 /// Decodes a text as the message `name` of the schema with these descriptors. Unknown fields are errors. `file` is
 /// the name of the file in errors.
@@ -47,25 +47,25 @@
     name: &str,
     file: &str,
     text: &str,
-) -> Result<M, Problem> {
-    let problem = |place, reason| Problem { file: file.into(), place, reason };
+) -> Result<M, FileError> {
+    let error = |location, reason| FileError { file: file.into(), location, reason };
     if text.len() > MAX_FILE_BYTES {
-        return Err(problem(None, format!("the file has {} bytes, {MAX_FILE_BYTES} at most", text.len())));
+        return Err(error(None, format!("the file has {} bytes, {MAX_FILE_BYTES} at most", text.len())));
     }
-    let pool = DescriptorPool::decode(descriptors).map_err(|e| problem(None, e.to_string()))?;
+    let pool = DescriptorPool::decode(descriptors).map_err(|e| error(None, e.to_string()))?;
     let descriptor = pool.get_message_by_name(name);
-    let descriptor = descriptor.ok_or_else(|| problem(None, format!("no message {name} in the schema")))?;
+    let descriptor = descriptor.ok_or_else(|| error(None, format!("no message {name} in the schema")))?;
     let message = DynamicMessage::parse_text_format(descriptor, text).map_err(|e| {
         let label = e.labels().and_then(|mut labels| labels.next());
-        let place = label.map(|label| location_at(text, label.offset()));
-        problem(place, e.to_string())
+        let location = label.map(|label| location_at(text, label.offset()));
+        error(location, e.to_string())
     })?;
-    message.transcode_to().map_err(|e| problem(None, e.to_string()))
+    message.transcode_to().map_err(|e| error(None, e.to_string()))
 }
 
 /// An error for an invalid value of a field such as `zones.zone[1].prefer`, with the place of the field.
-pub fn impossible(file: &str, text: &str, field: &str, reason: &str) -> Problem {
-    Problem { file: file.into(), place: locate_field(text, field), reason: format!("{field}: {reason}") }
+pub fn invalid_value(file: &str, text: &str, field: &str, reason: &str) -> FileError {
+    FileError { file: file.into(), location: locate_field(text, field), reason: format!("{field}: {reason}") }
 }
 
 /// The location of an offset in bytes.
--- a/crates/operator/src/zones.rs
+++ b/crates/operator/src/zones.rs
@@ -4,13 +4,19 @@
 use beaconshore_zones::policy::{Policy, ZonePolicy};
 
 use crate::proto;
-use crate::text::{impossible, Problem};
+use crate::textproto::{invalid_value, FileError};
 
 /// Converts and validates the `zones` message of a file. Fields that are left out have their defaults. `names` are the
 /// zones of the router's settings, by index; `file` and `text` are the name and the content of the file, for errors.
 /// Returns the first problem.
-pub fn zones(file: &str, text: &str, zones: &proto::Zones, names: &[String]) -> Result<Policy, Problem> {
-    let invalid = |field: &str, reason: &str| Err(impossible(file, text, &format!("zones.{field}"), reason));
+pub fn zone_policy(
+    file: &str,
+    text: &str,
+    zones: &proto::Zones,
+    names: &[String],
+) -> Result<Policy, FileError> {
+    let invalid =
+        |field: &str, reason: &str| Err(invalid_value(file, text, &format!("zones.{field}"), reason));
     let zone_id = |name: &str| names.iter().position(|n| n == name).map(|index| ZoneId(index as u16));
     let defaults = Policy::default();
     let mut configured = Vec::with_capacity(zones.zone.len());
@@ -66,7 +72,7 @@
     fn parse_zones(text: &str) -> Result<Policy, String> {
         let names: Vec<String> = NAMES.map(String::from).into();
         let file = parse("op.textproto", text).map_err(|e| e.to_string())?;
-        zones("op.textproto", text, &file.zones.unwrap_or_default(), &names).map_err(|e| e.to_string())
+        zone_policy("op.textproto", text, &file.zones.unwrap_or_default(), &names).map_err(|e| e.to_string())
     }
 
     /// Guards against a field that is lost in the conversion, and against a wrong default.
@@ -86,7 +92,7 @@
         let text = include_str!("../../../deploy/operator.textproto");
         let names: Vec<String> = ["a", "b", "c"].map(String::from).into();
         let file = parse("operator.textproto", text).unwrap();
-        let policy = zones("operator.textproto", text, &file.zones.unwrap(), &names).unwrap();
+        let policy = zone_policy("operator.textproto", text, &file.zones.unwrap(), &names).unwrap();
         assert_eq!(policy.zones.len(), 3);
         assert_eq!(Policy { zones: Vec::new(), ..policy }, Policy::default());
     }
--- a/crates/routes/benches/matching.rs
+++ b/crates/routes/benches/matching.rs
@@ -3,8 +3,8 @@
 #![allow(missing_docs)] // The macros of criterion generate items without documentation.
 
 use beaconshore::interface::RequestId;
-use beaconshore_routes::director::{Director, Over};
-use beaconshore_routes::expression::{Facts, Matcher};
+use beaconshore_routes::controller::{RequestEnd, RouteController};
+use beaconshore_routes::expression::{Matcher, RequestAttributes};
 use beaconshore_routes::policy::{Policy, Route};
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
 
@@ -17,25 +17,29 @@
             true => "always".to_owned(),
             false => format!("class == {:?} and group in [{}..{}]", CLASSES[i % 4], 5 * i, 5 * i + 4),
         };
-        let matches = Matcher::parse(&text).expect("a valid match expression");
-        Route { repeats: Some((0.1, 1.0)), ..Route::new(&format!("r{i}"), matches) }
+        let matcher = Matcher::parse(&text).expect("a valid match expression");
+        Route { retry_budget: Some((0.1, 1.0)), ..Route::new(&format!("r{i}"), matcher) }
     };
-    Policy { routes: (0..count).map(route).collect(), open: None }
+    Policy { routes: (0..count).map(route).collect(), concurrency_limit: None }
 }
 
 fn measure_admission(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("route");
     for count in [1, 20, 200] {
-        let mut director = Director::new(policy(count), 7, 0);
+        let mut controller = RouteController::new(policy(count), 7, 0);
         let mut next = 0_u64;
         group.bench_function(BenchmarkId::new("admit and end", count), |b| {
             b.iter(|| {
                 next += 1;
                 let class = CLASSES[next as usize % 4];
-                let facts = Facts { class, group: (next * 7 % 1000) as u32, ..Facts::default() };
-                let verdict = director.on_request(RequestId(next), &facts, 1_000_000, next * 3_700);
-                director.on_over(RequestId(next), Over::Served, next * 3_700 + 40_000);
-                verdict
+                let attributes = RequestAttributes {
+                    class,
+                    group: (next * 7 % 1000) as u32,
+                    ..RequestAttributes::default()
+                };
+                let admission = controller.on_request(RequestId(next), &attributes, 1_000_000, next * 3_700);
+                controller.on_request_ended(RequestId(next), RequestEnd::Served, next * 3_700 + 40_000);
+                admission
             });
         });
     }
--- a/crates/routes/src/expression.rs
+++ b/crates/routes/src/expression.rs
@@ -31,17 +31,17 @@
 
 /// The attributes of a request that a route can match.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Facts<'a> {
+pub struct RequestAttributes<'a> {
     /// Name of the request's class.
     pub class: &'a str,
     /// Number of the group that the request names.
     pub group: u32,
     /// Whether the request carries an idempotency key.
-    pub key: bool,
+    pub has_key: bool,
     /// Whether the request belongs to a session.
-    pub session: bool,
+    pub has_session: bool,
     /// Whether the client marked the request as a repeat of an earlier one.
-    pub repeat: bool,
+    pub is_repeat: bool,
     /// The client's address, if the protocol front end knows it.
     pub client: Option<IpAddr>,
     /// The user of the client's connection.
@@ -132,23 +132,25 @@
     }
 
     /// Whether a request with these attributes matches.
-    pub fn holds(&self, facts: &Facts) -> bool {
+    pub fn matches(&self, attributes: &RequestAttributes) -> bool {
         match self {
             Matcher::Always => true,
-            Matcher::Any(all) => all.iter().any(|m| m.holds(facts)),
-            Matcher::All(all) => all.iter().all(|m| m.holds(facts)),
-            Matcher::Not(one) => !one.holds(facts),
-            Matcher::Class(names) => names.iter().any(|name| name == facts.class),
-            Matcher::Group(ranges) => ranges.iter().any(|(from, to)| (*from..=*to).contains(&facts.group)),
-            Matcher::Key => facts.key,
-            Matcher::Session => facts.session,
-            Matcher::Repeat => facts.repeat,
+            Matcher::Any(all) => all.iter().any(|m| m.matches(attributes)),
+            Matcher::All(all) => all.iter().all(|m| m.matches(attributes)),
+            Matcher::Not(one) => !one.matches(attributes),
+            Matcher::Class(names) => names.iter().any(|name| name == attributes.class),
+            Matcher::Group(ranges) => {
+                ranges.iter().any(|(from, to)| (*from..=*to).contains(&attributes.group))
+            }
+            Matcher::Key => attributes.has_key,
+            Matcher::Session => attributes.has_session,
+            Matcher::Repeat => attributes.is_repeat,
             Matcher::Client(network, bits) => {
-                facts.client.is_some_and(|client| is_in_network(client, *network, *bits))
+                attributes.client.is_some_and(|client| is_in_network(client, *network, *bits))
             }
-            Matcher::User(name) => facts.user == name,
-            Matcher::Database(name) => facts.database == name,
-            Matcher::Statement(words) => starts_with_words(facts.statement, words),
+            Matcher::User(name) => attributes.user == name,
+            Matcher::Database(name) => attributes.database == name,
+            Matcher::Statement(words) => starts_with_words(attributes.statement, words),
         }
     }
 
@@ -166,10 +168,12 @@
     }
 
     /// The tests of the expression that do not hold for a request, in the match language. Empty if the request matches.
-    pub fn failing(&self, facts: &Facts) -> Vec<String> {
+    pub fn failing_tests(&self, attributes: &RequestAttributes) -> Vec<String> {
         match self {
-            _ if self.holds(facts) => Vec::new(),
-            Matcher::All(all) | Matcher::Any(all) => all.iter().flat_map(|m| m.failing(facts)).collect(),
+            _ if self.matches(attributes) => Vec::new(),
+            Matcher::All(all) | Matcher::Any(all) => {
+                all.iter().flat_map(|m| m.failing_tests(attributes)).collect()
+            }
             other => vec![other.to_string()],
         }
     }
@@ -404,15 +408,15 @@
 mod tests {
     use super::*;
 
-    fn facts() -> Facts<'static> {
-        Facts {
+    fn attributes() -> RequestAttributes<'static> {
+        RequestAttributes {
             class: "view",
             group: 7,
-            key: true,
+            has_key: true,
             client: Some("10.1.2.3".parse().unwrap()),
             user: "web",
             statement: "SELECT  payload FROM entries",
-            ..Facts::default()
+            ..RequestAttributes::default()
         }
     }
 
@@ -440,9 +444,13 @@
         ];
         for (text, expected) in cases {
             let matcher = Matcher::parse(text).unwrap_or_else(|e| panic!("{e}"));
-            assert_eq!(matcher.holds(&facts()), expected, "{text}");
-            assert_eq!(Matcher::parse(&matcher.to_string()).unwrap().holds(&facts()), expected, "{matcher}");
-            assert_eq!(matcher.failing(&facts()).is_empty(), expected, "{text}");
+            assert_eq!(matcher.matches(&attributes()), expected, "{text}");
+            assert_eq!(
+                Matcher::parse(&matcher.to_string()).unwrap().matches(&attributes()),
+                expected,
+                "{matcher}"
+            );
+            assert_eq!(matcher.failing_tests(&attributes()).is_empty(), expected, "{text}");
         }
     }
 
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -6,10 +6,10 @@
 //!
 //! In the order of a request's life: [`expression`] and [`route_index`] find its route; [`rate_limit`],
 //! [`concurrency_limit`] and [`weighted_shares`] admit or reject it; [`retry_budget`] holds retries to a share of first
-//! attempts. [`director`] combines these. [`policy`] holds the operator's configuration and validates it.
+//! attempts. [`controller`] combines these. [`policy`] holds the operator's configuration and validates it.
 
 pub mod concurrency_limit;
-pub mod director;
+pub mod controller;
 pub mod expression;
 pub mod policy;
 pub mod rate_limit;
@@ -17,5 +17,5 @@
 pub mod route_index;
 pub mod weighted_shares;
 
-pub use director::Director;
+pub use controller::RouteController;
 pub use policy::{Policy, Route};
--- a/crates/routes/src/policy.rs
+++ b/crates/routes/src/policy.rs
@@ -16,11 +16,11 @@
 /// Backoff between attempts with decorrelated jitter: each delay is drawn at random between the lower bound and three
 /// times the delay before it, and never exceeds the upper bound.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Pause {
+pub struct Backoff {
     /// Lower bound, in microseconds.
-    pub least: Micros,
+    pub min: Micros,
     /// Upper bound, in microseconds.
-    pub most: Micros,
+    pub max: Micros,
 }
 
 /// A limit on the rate of first attempts.
@@ -34,11 +34,11 @@
 
 /// Parameters of the adaptive limit on requests in flight.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct OpenLimit {
+pub struct ConcurrencyBounds {
     /// The limit never falls below this.
-    pub least: u32,
+    pub min: u32,
     /// The limit never rises above this.
-    pub most: u32,
+    pub max: u32,
     /// Responses that take more than this multiple of the baseline latency lower the limit.
     pub tolerance: f64,
 }
@@ -49,45 +49,45 @@
     /// Name of the route. Counters and limits are kept over reloads by this name.
     pub name: String,
     /// Which requests take the route.
-    pub matches: Matcher,
+    pub matcher: Matcher,
     /// Time for a request with all its attempts, in microseconds. `None`: the time that its client waits.
-    pub budget: Option<Micros>,
+    pub request_timeout: Option<Micros>,
     /// Time for one attempt, in microseconds. `None`: the time that is left for the request.
-    pub attempt: Option<Micros>,
+    pub attempt_timeout: Option<Micros>,
     /// Maximum number of attempts for a request. `None`: the maximum of the site's settings.
-    pub attempts: Option<u32>,
+    pub max_attempts: Option<u32>,
     /// Backoff between attempts. `None`: a retry is sent at once.
-    pub pause: Option<Pause>,
+    pub backoff: Option<Backoff>,
     /// Retry budget: retries as a share of first attempts, and the retries a second that are allowed in any case.
     /// `None`: retries are not limited by a budget.
-    pub repeats: Option<(f64, f64)>,
+    pub retry_budget: Option<(f64, f64)>,
     /// Limit on the rate of first attempts. `None`: no limit.
-    pub rate: Option<RateLimit>,
+    pub rate_limit: Option<RateLimit>,
     /// Adaptive limit on requests in flight. `None`: no limit of its own.
-    pub open: Option<OpenLimit>,
+    pub concurrency_limit: Option<ConcurrencyBounds>,
     /// Weight of the route's share in the concurrency limit that all routes have in common.
     pub weight: f64,
     /// Maximum staleness of bounded reads, in microseconds. `None`: the bound of their class.
-    pub staleness: Option<Micros>,
+    pub max_staleness: Option<Micros>,
     /// Zones whose members may serve the route's reads. Empty: all zones.
     pub zones: Vec<ZoneId>,
 }
 
 impl Route {
     /// Creates a route that restricts nothing.
-    pub fn new(name: &str, matches: Matcher) -> Self {
+    pub fn new(name: &str, matcher: Matcher) -> Self {
         Route {
             name: name.to_owned(),
-            matches,
-            budget: None,
-            attempt: None,
-            attempts: None,
-            pause: None,
-            repeats: None,
-            rate: None,
-            open: None,
+            matcher,
+            request_timeout: None,
+            attempt_timeout: None,
+            max_attempts: None,
+            backoff: None,
+            retry_budget: None,
+            rate_limit: None,
+            concurrency_limit: None,
             weight: 1.0,
-            staleness: None,
+            max_staleness: None,
             zones: Vec::new(),
         }
     }
@@ -95,12 +95,12 @@
     /// Latest start of the last attempt, in microseconds after the start of the first, if every attempt and every
     /// backoff delay takes its maximum. `None` if the time for an attempt is not bounded.
     pub fn latest_last_attempt_start(&self, limits: &Limits) -> Option<Micros> {
-        let retries = Micros::from(self.attempts.unwrap_or(limits.max_attempts).saturating_sub(1));
+        let retries = Micros::from(self.max_attempts.unwrap_or(limits.max_attempts).saturating_sub(1));
         if retries == 0 {
             return Some(0);
         }
-        let max_delay = self.pause.map_or(0, |p| p.most);
-        self.attempt.map(|attempt| retries.saturating_mul(attempt.saturating_add(max_delay)))
+        let max_delay = self.backoff.map_or(0, |p| p.max);
+        self.attempt_timeout.map(|attempt| retries.saturating_mul(attempt.saturating_add(max_delay)))
     }
 }
 
@@ -110,7 +110,7 @@
     /// The routes, in the order in which they are matched.
     pub routes: Vec<Route>,
     /// Limit on the requests in flight of all routes together, shared by weight. `None`: no common limit.
-    pub open: Option<u32>,
+    pub concurrency_limit: Option<u32>,
 }
 
 /// An invalid value in a policy, with a remedy.
@@ -141,7 +141,7 @@
             let reason = format!("has {} routes, must have {MAX_ROUTES} at most", self.routes.len());
             return vec![Finding { field: "route".into(), reason }];
         }
-        if self.open == Some(0) {
+        if self.concurrency_limit == Some(0) {
             found.push(Finding { field: "open".into(), reason: "is 0: no request would be admitted".into() });
         }
         for (i, route) in self.routes.iter().enumerate() {
@@ -157,7 +157,7 @@
                     format!("route[{other}] has the same name; names must differ, since counters go by name"),
                 );
             }
-            if let Some(other) = earlier.iter().find(|r| r.matches.covers(&route.matches)) {
+            if let Some(other) = earlier.iter().find(|r| r.matcher.covers(&route.matcher)) {
                 report(
                     "match",
                     format!(
@@ -175,19 +175,22 @@
 impl Route {
     /// Indices of the classes whose requests can match the route.
     fn classes(&self, class_names: &[String]) -> Vec<usize> {
-        let named = self.matches.classes();
+        let named = self.matcher.classes();
         let can_match = |name: &String| named.as_ref().is_none_or(|named| named.contains(&name.as_str()));
         class_names.iter().enumerate().filter(|(_, name)| can_match(name)).map(|(i, _)| i).collect()
     }
 
     fn findings(&self, settings: &Settings, class_names: &[String], report: &mut dyn FnMut(&str, String)) {
         for unknown in
-            self.matches.classes().into_iter().flatten().filter(|c| !class_names.iter().any(|n| n == c))
+            self.matcher.classes().into_iter().flatten().filter(|c| !class_names.iter().any(|n| n == c))
         {
             report("match", format!("no class {unknown:?}; there are {}", class_names.join(", ")));
         }
-        let durations =
-            [("budget_ms", self.budget), ("attempt_ms", self.attempt), ("staleness_ms", self.staleness)];
+        let durations = [
+            ("budget_ms", self.request_timeout),
+            ("attempt_ms", self.attempt_timeout),
+            ("staleness_ms", self.max_staleness),
+        ];
         for (field, duration) in durations {
             if let Some(duration) = duration.filter(|duration| *duration == 0 || *duration > MAX_DURATION_US)
             {
@@ -197,25 +200,24 @@
                 );
             }
         }
-        if self.budget.zip(self.attempt).is_some_and(|(budget, attempt)| attempt > budget) {
+        if self.request_timeout.zip(self.attempt_timeout).is_some_and(|(budget, attempt)| attempt > budget) {
             report("attempt_ms", "is longer than budget_ms; make it shorter, or leave it out".into());
         }
-        if let Some(attempts) = self.attempts.filter(|n| *n == 0 || *n > settings.limits.max_attempts) {
+        if let Some(attempts) = self.max_attempts.filter(|n| *n == 0 || *n > settings.limits.max_attempts) {
             report("attempts", format!("is {attempts}, must be from 1 to {}", settings.limits.max_attempts));
         }
-        if let Some(pause) =
-            self.pause.filter(|p| p.least == 0 || p.most < p.least || p.most > MAX_DURATION_US)
+        if let Some(backoff) = self.backoff.filter(|p| p.min == 0 || p.max < p.min || p.max > MAX_DURATION_US)
         {
             report(
                 "pause",
                 format!(
                     "is from {} to {}; must ascend, from 1 ms or more to 600000 ms at most",
-                    format_ms(pause.least),
-                    format_ms(pause.most)
+                    format_ms(backoff.min),
+                    format_ms(backoff.max)
                 ),
             );
         }
-        if let Some((share, floor)) = self.repeats {
+        if let Some((share, floor)) = self.retry_budget {
             if !(0.0..=1.0).contains(&share) {
                 report("repeats.share", format!("is {share}, must be from 0 to 1"));
             }
@@ -223,16 +225,16 @@
                 report("repeats.floor", format!("is {floor}, must be from 0 to 1000000"));
             }
         }
-        if let Some(open) = self.open.filter(|o| o.least == 0 || o.most < o.least) {
+        if let Some(bounds) = self.concurrency_limit.filter(|o| o.min == 0 || o.max < o.min) {
             report(
                 "open",
                 format!(
                     "is from {} to {}; least must be 1 or more, and most no less than least",
-                    open.least, open.most
+                    bounds.min, bounds.max
                 ),
             );
         }
-        if self.open.is_some_and(|o| !(o.tolerance > 1.0 && o.tolerance <= 100.0)) {
+        if self.concurrency_limit.is_some_and(|o| !(o.tolerance > 1.0 && o.tolerance <= 100.0)) {
             report("open.tolerance", "must be over 1, and 100 at most".into());
         }
         if !(self.weight > 0.0 && self.weight <= 1e6) {
@@ -252,7 +254,7 @@
         report: &mut dyn FnMut(&str, String),
     ) {
         let Some(class) = settings.classes.get(class) else { return };
-        if let Some(budget) = self.budget.filter(|budget| *budget > class.deadline) {
+        if let Some(budget) = self.request_timeout.filter(|budget| *budget > class.deadline) {
             let reason = format!(
                 "is {}, but clients of class {name:?} wait {} at most",
                 format_ms(budget),
@@ -263,7 +265,7 @@
         match class.effect {
             Effect::Safe => {}
             Effect::Unsafe => {
-                if self.attempts.is_some_and(|attempts| attempts > 1) {
+                if self.max_attempts.is_some_and(|attempts| attempts > 1) {
                     report(
                         "attempts",
                         format!(
@@ -276,7 +278,7 @@
             Effect::Keyed(_, window) => {
                 let last_start = self.latest_last_attempt_start(&settings.limits);
                 if let Some(last_start) =
-                    last_start.filter(|last_start| self.attempts.is_some() && *last_start > window)
+                    last_start.filter(|last_start| self.max_attempts.is_some() && *last_start > window)
                 {
                     let reason = format!(
                         "the last attempt may begin {} after the first, but members drop repeats of \
@@ -288,7 +290,7 @@
                 }
             }
         }
-        match (self.staleness, class.consistency) {
+        match (self.max_staleness, class.consistency) {
             (Some(staleness), Consistency::Bounded(bound)) if staleness > bound => {
                 let reason = format!(
                     "is {}, but class {name:?} allows {} at most",
--- a/crates/routes/src/route_index.rs
+++ b/crates/routes/src/route_index.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::expression::Facts;
+use crate::expression::RequestAttributes;
 use crate::policy::Route;
 
 /// Routes by request class, in the order of the policy.
@@ -18,7 +18,7 @@
     pub fn new(routes: &[Route]) -> Self {
         let mut index = RouteIndex::default();
         let named =
-            |route: &Route| route.matches.classes().map(|c| c.iter().map(|c| c.to_string()).collect());
+            |route: &Route| route.matcher.classes().map(|c| c.iter().map(|c| c.to_string()).collect());
         let classes: Vec<Option<Vec<String>>> = routes.iter().map(named).collect();
         for class in classes.iter().flatten().flatten() {
             index.by_class.entry(class.clone()).or_default();
@@ -42,9 +42,9 @@
     }
 
     /// The index of the first route that matches a request. `routes` are those that the index was built from.
-    pub fn find(&self, routes: &[Route], facts: &Facts) -> Option<usize> {
-        let candidates = self.by_class.get(facts.class).unwrap_or(&self.other_classes);
-        candidates.iter().copied().find(|i| routes[*i].matches.holds(facts))
+    pub fn find(&self, routes: &[Route], attributes: &RequestAttributes) -> Option<usize> {
+        let candidates = self.by_class.get(attributes.class).unwrap_or(&self.other_classes);
+        candidates.iter().copied().find(|i| routes[*i].matcher.matches(attributes))
     }
 }
 
@@ -72,10 +72,15 @@
         for class in ["a", "b", "c", "d"] {
             for group in 0..9 {
                 for bits in 0..4 {
-                    let facts =
-                        Facts { class, group, key: bits & 1 > 0, session: bits & 2 > 0, ..Facts::default() };
-                    let expected = routes.iter().position(|r| r.matches.holds(&facts));
-                    assert_eq!(index.find(&routes, &facts), expected, "{facts:?}");
+                    let attributes = RequestAttributes {
+                        class,
+                        group,
+                        has_key: bits & 1 > 0,
+                        has_session: bits & 2 > 0,
+                        ..RequestAttributes::default()
+                    };
+                    let expected = routes.iter().position(|r| r.matcher.matches(&attributes));
+                    assert_eq!(index.find(&routes, &attributes), expected, "{attributes:?}");
                     found.insert(expected);
                 }
             }
--- a/crates/routes/tests/policy_validation.rs
+++ b/crates/routes/tests/policy_validation.rs
@@ -4,7 +4,7 @@
 
 use beaconshore::interface::*;
 use beaconshore_routes::expression::Matcher;
-use beaconshore_routes::policy::{OpenLimit, Pause, Policy, RateLimit, Route, MAX_ROUTES};
+use beaconshore_routes::policy::{Backoff, ConcurrencyBounds, Policy, RateLimit, Route, MAX_ROUTES};
 
 const MS: Micros = 1_000;
 
@@ -28,9 +28,9 @@
 }
 
 /// The findings for a policy, as text.
-fn findings(routes: Vec<Route>, open: Option<u32>) -> Vec<String> {
+fn findings(routes: Vec<Route>, concurrency_limit: Option<u32>) -> Vec<String> {
     let (settings, names) = settings();
-    let policy = Policy { routes, open };
+    let policy = Policy { routes, concurrency_limit };
     policy.findings(&settings, &names).iter().map(ToString::to_string).collect()
 }
 
@@ -45,41 +45,41 @@
 #[test]
 fn a_valid_policy_has_no_findings() {
     let every_field = |r: &mut Route| {
-        (r.budget, r.attempt, r.attempts) = (Some(1_000 * MS), Some(300 * MS), Some(3));
-        r.pause = Some(Pause { least: 10 * MS, most: 50 * MS });
-        (r.repeats, r.staleness) = (Some((0.2, 1.0)), Some(150 * MS));
-        r.rate = NonZeroU32::new(10).map(|n| RateLimit { per_second: n, burst: n });
-        r.open = Some(OpenLimit { least: 2, most: 100, tolerance: 2.0 });
+        (r.request_timeout, r.attempt_timeout, r.max_attempts) = (Some(1_000 * MS), Some(300 * MS), Some(3));
+        r.backoff = Some(Backoff { min: 10 * MS, max: 50 * MS });
+        (r.retry_budget, r.max_staleness) = (Some((0.2, 1.0)), Some(150 * MS));
+        r.rate_limit = NonZeroU32::new(10).map(|n| RateLimit { per_second: n, burst: n });
+        r.concurrency_limit = Some(ConcurrencyBounds { min: 2, max: 100, tolerance: 2.0 });
     };
     assert_eq!(findings_of_one("view", every_field), Vec::<String>::new());
     assert_eq!(
-        findings_of_one("log", |r| (r.attempt, r.attempts) = (Some(1_000 * MS), Some(4))),
+        findings_of_one("log", |r| (r.attempt_timeout, r.max_attempts) = (Some(1_000 * MS), Some(4))),
         Vec::<String>::new()
     );
-    assert_eq!(findings_of_one("pay", |r| r.attempts = Some(1)), Vec::<String>::new());
+    assert_eq!(findings_of_one("pay", |r| r.max_attempts = Some(1)), Vec::<String>::new());
 }
 
 /// Guards against a policy that violates a guarantee of a class or can never take effect, and against findings that
 /// name the wrong field or no remedy.
 #[test]
 fn an_invalid_value_is_reported_with_its_field_and_remedy() {
-    let pause = Some(Pause { least: MS, most: 600 * MS });
+    let pause = Some(Backoff { min: MS, max: 600 * MS });
     let cases: Vec<(Vec<String>, &str)> = vec![
-        (findings_of_one("log", |r| (r.attempt, r.attempts) = (Some(1_100 * MS), Some(4))), "route[0].attempts: the last attempt may begin 3300 ms after the first, but members drop repeats of class \"log\" for 3000 ms only"),
-        (findings_of_one("log", |r| (r.attempt, r.attempts, r.pause) = (Some(500 * MS), Some(4), pause)), "route[0].attempts: the last attempt may begin 3300 ms"),
-        (findings_of_one("pay", |r| r.attempts = Some(2)), "route[0].attempts: must be 1, since requests of class \"pay\" must never run twice"),
-        (findings_of_one("view", |r| r.budget = Some(1_001 * MS)), "route[0].budget_ms: is 1001 ms, but clients of class \"view\" wait 1000 ms at most"),
-        (findings_of_one("view", |r| r.staleness = Some(201 * MS)), "route[0].staleness_ms: is 201 ms, but class \"view\" allows 200 ms at most"),
-        (findings_of_one("view", |r| (r.budget, r.attempt) = (Some(500 * MS), Some(501 * MS))), "route[0].attempt_ms: is longer than budget_ms"),
-        (findings_of_one("view", |r| r.budget = Some(0)), "route[0].budget_ms: is 0 ms, must be from 1"),
-        (findings_of_one("view", |r| r.attempts = Some(0)), "route[0].attempts: is 0, must be from 1 to 8"),
-        (findings_of_one("view", |r| r.attempts = Some(9)), "route[0].attempts: is 9, must be from 1 to 8"),
-        (findings_of_one("view", |r| r.pause = Some(Pause { least: 9, most: 3 })), "route[0].pause: is from"),
-        (findings_of_one("view", |r| r.repeats = Some((1.5, 0.0))), "route[0].repeats.share: is 1.5, must be from 0 to 1"),
-        (findings_of_one("view", |r| r.repeats = Some((f64::NAN, 0.0))), "route[0].repeats.share: is NaN"),
-        (findings_of_one("view", |r| r.repeats = Some((0.1, -1.0))), "route[0].repeats.floor: is -1"),
-        (findings_of_one("view", |r| r.open = Some(OpenLimit { least: 0, most: 3, tolerance: 2.0 })), "route[0].open: is from 0 to 3"),
-        (findings_of_one("view", |r| r.open = Some(OpenLimit { least: 1, most: 3, tolerance: 1.0 })), "route[0].open.tolerance: must be over 1"),
+        (findings_of_one("log", |r| (r.attempt_timeout, r.max_attempts) = (Some(1_100 * MS), Some(4))), "route[0].attempts: the last attempt may begin 3300 ms after the first, but members drop repeats of class \"log\" for 3000 ms only"),
+        (findings_of_one("log", |r| (r.attempt_timeout, r.max_attempts, r.backoff) = (Some(500 * MS), Some(4), pause)), "route[0].attempts: the last attempt may begin 3300 ms"),
+        (findings_of_one("pay", |r| r.max_attempts = Some(2)), "route[0].attempts: must be 1, since requests of class \"pay\" must never run twice"),
+        (findings_of_one("view", |r| r.request_timeout = Some(1_001 * MS)), "route[0].budget_ms: is 1001 ms, but clients of class \"view\" wait 1000 ms at most"),
+        (findings_of_one("view", |r| r.max_staleness = Some(201 * MS)), "route[0].staleness_ms: is 201 ms, but class \"view\" allows 200 ms at most"),
+        (findings_of_one("view", |r| (r.request_timeout, r.attempt_timeout) = (Some(500 * MS), Some(501 * MS))), "route[0].attempt_ms: is longer than budget_ms"),
+        (findings_of_one("view", |r| r.request_timeout = Some(0)), "route[0].budget_ms: is 0 ms, must be from 1"),
+        (findings_of_one("view", |r| r.max_attempts = Some(0)), "route[0].attempts: is 0, must be from 1 to 8"),
+        (findings_of_one("view", |r| r.max_attempts = Some(9)), "route[0].attempts: is 9, must be from 1 to 8"),
+        (findings_of_one("view", |r| r.backoff = Some(Backoff { min: 9, max: 3 })), "route[0].pause: is from"),
+        (findings_of_one("view", |r| r.retry_budget = Some((1.5, 0.0))), "route[0].repeats.share: is 1.5, must be from 0 to 1"),
+        (findings_of_one("view", |r| r.retry_budget = Some((f64::NAN, 0.0))), "route[0].repeats.share: is NaN"),
+        (findings_of_one("view", |r| r.retry_budget = Some((0.1, -1.0))), "route[0].repeats.floor: is -1"),
+        (findings_of_one("view", |r| r.concurrency_limit = Some(ConcurrencyBounds { min: 0, max: 3, tolerance: 2.0 })), "route[0].open: is from 0 to 3"),
+        (findings_of_one("view", |r| r.concurrency_limit = Some(ConcurrencyBounds { min: 1, max: 3, tolerance: 1.0 })), "route[0].open.tolerance: must be over 1"),
         (findings_of_one("view", |r| r.weight = 0.0), "route[0].weight: is 0, must be over 0"),
         (findings_of_one("view", |r| r.weight = f64::INFINITY), "route[0].weight: is inf"),
         (findings_of_one("veiw", |_| {}), "route[0].match: no class \"veiw\"; there are view, log, pay"),
--- a/crates/steering/src/lib.rs
+++ b/crates/steering/src/lib.rs
@@ -9,9 +9,11 @@
 use beaconshore::interface::{Action, Event, MemberId, Micros, Outcome, Request, RequestId, Settings};
 use beaconshore::sizes::TableSizes;
 use beaconshore::Router;
-use beaconshore_routes::director::{facts, Again, Counts, Over, Verdict};
-use beaconshore_routes::expression::Facts;
-use beaconshore_routes::Director;
+use beaconshore_routes::controller::{
+    request_attributes, Admission, RequestEnd, RetryDecision, RouteCounters,
+};
+use beaconshore_routes::expression::RequestAttributes;
+use beaconshore_routes::RouteController;
 use beaconshore_zones::planner::ZoneStatus;
 use beaconshore_zones::Planner;
 
@@ -41,7 +43,7 @@
 pub struct Steering {
     router: Router,
     zone_planner: Option<Planner>,
-    director: Option<Director>,
+    controller: Option<RouteController>,
     settings: Settings,
     class_names: Vec<String>,
     seed: u64,
@@ -53,11 +55,11 @@
     pub fn new(settings: Settings, plans: Plans, seed: u64, now: Micros) -> Self {
         let Plans { zones, routes, classes: class_names } = plans;
         let zone_planner = zones.map(|policy| Planner::new(policy, &settings, now));
-        let director = routes.map(|policy| Director::new(policy, seed, now));
+        let controller = routes.map(|policy| RouteController::new(policy, seed, now));
         Steering {
             router: Router::new(settings.clone(), seed, now),
             zone_planner,
-            director,
+            controller,
             settings,
             class_names,
             seed,
@@ -66,29 +68,33 @@
 
     /// Handles an event and appends the actions that follow from it to `out`.
     pub fn handle(&mut self, now: Micros, event: &Event, out: &mut Vec<Action>) {
-        let Some(director) = &mut self.director else { return self.handle_in_module(now, event, out) };
+        let Some(controller) = &mut self.controller else { return self.handle_in_module(now, event, out) };
         match event {
             Event::Request(request) => {
-                let facts = facts(request, &self.settings, &self.class_names);
-                let verdict = director.on_request(request.id, &facts, request.budget, now);
-                self.apply_verdict(now, request, verdict, out);
+                let attributes = request_attributes(request, &self.settings, &self.class_names);
+                let admission = controller.on_request(request.id, &attributes, request.budget, now);
+                self.apply_admission(now, request, admission, out);
             }
             Event::AttemptEnded(ended) => {
                 if ended.outcome != Outcome::Served && !ended.request_finished {
-                    let rest = match director.on_failed(ended.request, ended.outcome, now) {
-                        Again::At(at) if at <= now => None,
-                        Again::At(at) => Some(Event::RetryNotBefore(ended.request, Some(at))),
-                        Again::Never => Some(Event::RetryNotBefore(ended.request, None)),
+                    let rest = match controller.on_attempt_failed(ended.request, ended.outcome, now) {
+                        RetryDecision::At(at) if at <= now => None,
+                        RetryDecision::At(at) => Some(Event::RetryNotBefore(ended.request, Some(at))),
+                        RetryDecision::Denied => Some(Event::RetryNotBefore(ended.request, None)),
                     };
                     rest.into_iter().for_each(|rest| self.handle_in_module(now, &rest, out));
                 } else {
-                    let over = if ended.outcome == Outcome::Served { Over::Served } else { Over::Unserved };
-                    director.on_over(ended.request, over, now);
+                    let over = if ended.outcome == Outcome::Served {
+                        RequestEnd::Served
+                    } else {
+                        RequestEnd::Unserved
+                    };
+                    controller.on_request_ended(ended.request, over, now);
                 }
                 self.handle_in_module(now, event, out);
             }
             Event::ClientDisconnected(request) => {
-                director.on_over(*request, Over::Left, now);
+                controller.on_request_ended(*request, RequestEnd::ClientLeft, now);
                 self.handle_in_module(now, event, out);
             }
             _ => self.handle_in_module(now, event, out),
@@ -105,31 +111,42 @@
         statement: &str,
         out: &mut Vec<Action>,
     ) {
-        let Some(director) = &mut self.director else {
+        let Some(controller) = &mut self.controller else {
             return self.handle_in_module(now, &Event::Request(request.clone()), out);
         };
         let Connection { client, user, database } = connection;
-        let facts =
-            Facts { client, user, database, statement, ..facts(request, &self.settings, &self.class_names) };
-        let verdict = director.on_request(request.id, &facts, request.budget, now);
-        self.apply_verdict(now, request, verdict, out);
+        let attributes = RequestAttributes {
+            client,
+            user,
+            database,
+            statement,
+            ..request_attributes(request, &self.settings, &self.class_names)
+        };
+        let admission = controller.on_request(request.id, &attributes, request.budget, now);
+        self.apply_admission(now, request, admission, out);
     }
 
     /// Whether there are routes. Only then callers need to pass a request's connection and statement.
     pub fn is_routed(&self) -> bool {
-        self.director.is_some()
+        self.controller.is_some()
     }
 
     /// Passes a request on to the decision module, narrowed by its route, or refuses it.
-    fn apply_verdict(&mut self, now: Micros, request: &Request, verdict: Verdict, out: &mut Vec<Action>) {
-        match verdict {
-            Verdict::Admit(budget, narrow) => {
+    fn apply_admission(
+        &mut self,
+        now: Micros,
+        request: &Request,
+        admission: Admission,
+        out: &mut Vec<Action>,
+    ) {
+        match admission {
+            Admission::Admit(budget, narrow) => {
                 let request = Request { budget, ..request.clone() };
                 self.handle_in_module(now, &Event::RequestWithLimits(request, narrow), out);
             }
             // The request has not reached the module, so it has not run, and the client may safely send it
             // again.
-            Verdict::TurnAway(_, after) => {
+            Admission::Reject(_, after) => {
                 let limits = &self.settings.limits;
                 let max_retry_after = if limits.retry_after { limits.max_retry_after } else { 0 };
                 out.push(Action::Refuse { request: request.id, retry_after: after.min(max_retry_after) });
@@ -137,7 +154,7 @@
         }
     }
 
-    /// Lets the zone planner and the decision module handle an event, and tells the director which requests
+    /// Lets the zone planner and the decision module handle an event, and tells the route controller which requests
     /// are over by that.
     fn handle_in_module(&mut self, now: Micros, event: &Event, out: &mut Vec<Action>) {
         let first_new = out.len();
@@ -160,10 +177,10 @@
                 }
             }
         }
-        if let Some(director) = &mut self.director {
+        if let Some(controller) = &mut self.controller {
             for action in &out[first_new..] {
                 if let Action::Refuse { request, .. } | Action::Fail(request) = action {
-                    director.on_over(*request, Over::Unserved, now);
+                    controller.on_request_ended(*request, RequestEnd::Unserved, now);
                 }
             }
         }
@@ -186,9 +203,11 @@
     /// Replaces all routes at once. Requests that have already been admitted keep the limits of the old
     /// routes.
     pub fn reload_routes(&mut self, policy: Option<beaconshore_routes::Policy>, now: Micros) {
-        match (&mut self.director, policy) {
-            (Some(director), Some(policy)) => director.reload(policy, now),
-            (director, policy) => *director = policy.map(|policy| Director::new(policy, self.seed, now)),
+        match (&mut self.controller, policy) {
+            (Some(controller), Some(policy)) => controller.reload(policy, now),
+            (controller, policy) => {
+                *controller = policy.map(|policy| RouteController::new(policy, self.seed, now))
+            }
         }
     }
 
@@ -203,8 +222,8 @@
     }
 
     /// Returns the counters of each route by name; empty without routes.
-    pub fn route_counts(&self) -> Vec<(&str, Counts)> {
-        self.director.as_ref().map_or_else(Vec::new, Director::counts)
+    pub fn route_counts(&self) -> Vec<(&str, RouteCounters)> {
+        self.controller.as_ref().map_or_else(Vec::new, RouteController::counters)
     }
 
     /// Returns the sizes of the zone planner's tables (members, groups, requests); none without a zone
@@ -215,7 +234,7 @@
 
     /// Returns the number of open requests that belong to a route.
     pub fn routed_requests(&self) -> usize {
-        self.director.as_ref().map_or(0, Director::held)
+        self.controller.as_ref().map_or(0, RouteController::tracked_requests)
     }
 
     /// Returns the sizes of the decision module's tables.
