--- a/crates/driver/src/control.rs
+++ b/crates/driver/src/control.rs
@@ -23,7 +23,7 @@
     fn start(
         &self,
         node: &Rc<Node>,
-        module: &DecisionHandle,
+        decision: &DecisionHandle,
         id: MemberId,
         address: SocketAddr,
     ) -> Sender<MemberMessage>;
@@ -33,7 +33,7 @@
 pub struct ControlPlane {
     executor: Rc<LocalExecutor<'static>>,
     node: Rc<Node>,
-    module: DecisionHandle,
+    decision: DecisionHandle,
 }
 
 impl ControlPlane {
@@ -51,13 +51,13 @@
         let executor = Rc::new(LocalExecutor::new());
         let node = Rc::new(Node::new(&config, Rc::downgrade(&executor)));
         let peers = socket.map(|socket| peers::create(&node, socket, &config));
-        let (module, handle) = DecisionActor::new(node.clone(), &config, peers.as_ref(), transport);
-        node.spawn(module.run(config.known.clone()));
+        let (decision, handle) = DecisionActor::new(node.clone(), &config, peers.as_ref(), transport);
+        node.spawn(decision.run(config.known.clone()));
         peers.into_iter().for_each(|peers| node.spawn(peers.run(handle.clone())));
         let (discovery_addresses, addresses) = async_channel::unbounded();
         node.spawn(discovery::run(node.clone(), config.discovery, addresses, handle.clone()));
         node.spawn(reload(config, reloads, discovery_addresses, handle.clone()));
-        Ok(ControlPlane { executor, node, module: handle })
+        Ok(ControlPlane { executor, node, decision: handle })
     }
 
     /// The executor on which the actors run.
@@ -70,8 +70,8 @@
         &self.node
     }
 
-    /// The handle of the actor of the decision module.
-    pub fn module(&self) -> &DecisionHandle {
-        &self.module
+    /// The handle of the decision actor.
+    pub fn decision(&self) -> &DecisionHandle {
+        &self.decision
     }
 }
--- a/crates/driver/src/discovery/mod.rs
+++ b/crates/driver/src/discovery/mod.rs
@@ -1,7 +1,7 @@
 //! Keeps the membership list up to date from discovery: fetches the full list at intervals, and watches for changes from its
 //! version on. A watch that breaks is reopened after a pause.
 //!
-//! Owns the calls to discovery, and passes every list to the module's actor unchanged; it decides nothing about members.
+//! Owns the calls to discovery, and passes every list to the decision actor unchanged; it decides nothing about members.
 //! Which calls are made when, and which list is applied, is decided by [`list_sync`], without I/O.
 
 pub mod call_timing;
@@ -65,16 +65,16 @@
     node: Rc<Node>,
     address: SocketAddr,
     addresses: Receiver<SocketAddr>,
-    module: DecisionHandle,
+    decision: DecisionHandle,
 ) {
     let (mut address, mut version) = (address, None);
     loop {
         // The first future is polled first: once the new address has delivered its list, no update of the old watch counts.
         let moved = await_new_address(&node, &addresses);
-        let (next, update) = future::or(moved, sync_with(&node, address, version, &module)).await;
+        let (next, update) = future::or(moved, sync_with(&node, address, version, &decision)).await;
         info!("discovery address changed: the membership list now comes from {next}");
         (address, version) = (next, Some(update.generation));
-        module.send_list(update).await;
+        decision.send_list(update).await;
     }
 }
 
@@ -121,7 +121,7 @@
     node: &Rc<Node>,
     address: SocketAddr,
     version: Option<u64>,
-    module: &DecisionHandle,
+    decision: &DecisionHandle,
 ) -> (SocketAddr, MembershipUpdate) {
     let mut calls = CallState::new(node, address);
     let mut list_sync = ListSync::new(calls.timing, version, Instant::now());
@@ -159,7 +159,7 @@
                 calls.answered();
                 if list_sync.on_full_list(update.generation, digest, Instant::now()) == FullListVerdict::Apply
                 {
-                    module.send_list(update).await;
+                    decision.send_list(update).await;
                 }
             }
             CallEvent::FullList(Err(error)) => {
@@ -172,7 +172,7 @@
             CallEvent::Update(Some(update)) => {
                 calls.answered();
                 list_sync.on_update(update.generation);
-                module.send_list(update).await;
+                decision.send_list(update).await;
             }
             CallEvent::Ended(error) => {
                 watch = Watch::Closed;
--- a/crates/driver/src/lib.rs
+++ b/crates/driver/src/lib.rs
@@ -77,8 +77,8 @@
     stall_detector: StallDetector,
     /// Id of the request that was accepted last. Ids are consecutive numbers.
     last_request_id: Cell<u64>,
-    /// Number of lists and updates that the module has taken in. A member's actor compares it to see whether a decision was
-    /// made before the latest one.
+    /// Number of lists and updates that the decision module has taken in. A member's actor compares it to see whether a
+    /// decision was made before the latest one.
     lists_applied: Cell<u64>,
 }
 
@@ -159,7 +159,7 @@
     );
 
     let control = ControlPlane::start(config, Rc::new(SocketTransport), reloads)?;
-    let (node, handle) = (control.node().clone(), control.module().clone());
+    let (node, handle) = (control.node().clone(), control.decision().clone());
     let (clients, emptied) = client::Clients::new(node.clone(), handle);
     node.spawn({
         let node = node.clone();
@@ -178,7 +178,7 @@
     mut config: Config,
     reloads: impl Stream<Item = Config>,
     discovery_addresses: Sender<SocketAddr>,
-    module: DecisionHandle,
+    decision: DecisionHandle,
 ) {
     let mut reloads = pin!(reloads);
     while let Some(new) = reloads.next().await {
@@ -197,7 +197,7 @@
             let count = new.plans.routes.as_ref().map_or(0, |r| r.routes.len());
             info!("routes read again: {count} of them; requests already accepted keep their routes");
             config.plans = Plans { zones: config.plans.zones, ..new.plans.clone() };
-            module.send(DecisionMessage::ReplaceRoutes(new.plans.routes));
+            decision.send(DecisionMessage::ReplaceRoutes(new.plans.routes));
         }
     }
 }
--- a/crates/driver/src/peers/mod.rs
+++ b/crates/driver/src/peers/mod.rs
@@ -87,8 +87,8 @@
     }
 
     /// Sends and receives messages until the driver ends.
-    pub async fn run(self, module: DecisionHandle) {
-        future::or(self.send(), future::or(self.receive(module), self.run_gossip())).await;
+    pub async fn run(self, decision: DecisionHandle) {
+        future::or(self.send(), future::or(self.receive(decision), self.run_gossip())).await;
     }
 
     /// Handles the messages of the mailbox. Member states go to the gossip, if there is a policy.
@@ -151,7 +151,7 @@
     }
 
     /// Reads all received datagrams, then pauses for [`READ_PAUSE`], over and over.
-    async fn receive(&self, module: DecisionHandle) {
+    async fn receive(&self, decision: DecisionHandle) {
         let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             // An error here concerns an earlier datagram that could not be delivered.
@@ -159,14 +159,14 @@
                 Timer::after(ERROR_PAUSE).await;
                 continue;
             };
-            self.handle_datagram(&bytes[..length], from, &module);
+            self.handle_datagram(&bytes[..length], from, &decision);
             // Yields at intervals, so that a flood of datagrams does not starve other actors.
             for read_count in 1.. {
                 let meter = &self.node.meter;
                 let received =
                     meter.measure(Work::PeerMessages, || self.socket.get_ref().recv_from(&mut bytes));
                 let Ok((length, from)) = received else { break };
-                self.handle_datagram(&bytes[..length], from, &module);
+                self.handle_datagram(&bytes[..length], from, &decision);
                 if read_count % MAX_READS_IN_A_ROW == 0 {
                     future::yield_now().await;
                 }
@@ -176,14 +176,14 @@
     }
 
     /// Handles one received datagram, and counts it as received or dropped.
-    fn handle_datagram(&self, bytes: &[u8], from: SocketAddr, module: &DecisionHandle) {
+    fn handle_datagram(&self, bytes: &[u8], from: SocketAddr, decision: &DecisionHandle) {
         if Some(from) == self.own_address {
             return;
         }
         self.node.stats.add(Counter::PeerBytesReceived, bytes.len());
         let accepted = self.node.meter.measure(Work::PeerMessages, || {
             let number = self.numbers.get(&from)?;
-            self.accept(*number, PeerMessage::decode(bytes)?, module)
+            self.accept(*number, PeerMessage::decode(bytes)?, decision)
         });
         self.node.stats.count(if accepted.is_some() {
             Counter::DatagramsReceived
@@ -192,8 +192,8 @@
         });
     }
 
-    /// Passes a message to the gossip or to the module's actor; `None` if it is dropped.
-    fn accept(&self, from: u32, message: PeerMessage, module: &DecisionHandle) -> Option<()> {
+    /// Passes a message to the gossip or to the decision actor; `None` if it is dropped.
+    fn accept(&self, from: u32, message: PeerMessage, decision: &DecisionHandle) -> Option<()> {
         let message = match (message, &self.gossip) {
             (PeerMessage::Digest(digest), Some(gossip)) => {
                 gossip.borrow_mut().on_digest(PeerNumber(from), &digest);
@@ -207,6 +207,6 @@
             }
             (message, _) => message,
         };
-        module.send_peer_message(from, message).then_some(())
+        decision.send_peer_message(from, message).then_some(())
     }
 }
--- a/crates/driver/src/stall.rs
+++ b/crates/driver/src/stall.rs
@@ -12,7 +12,7 @@
 /// Start and end of a period.
 type Interval = (Micros, Micros);
 
-/// Detects stalls by how late the timer of the module's actor fires.
+/// Detects stalls by how late the timer of the decision actor fires.
 #[derive(Debug, Default)]
 pub struct StallDetector {
     /// When the timer was set, and when it is due; `None` while it is not set.
--- a/crates/scale/src/hollow.rs
+++ b/crates/scale/src/hollow.rs
@@ -125,13 +125,13 @@
             client: self.answers.clone(),
             identity: Rc::new(ClientIdentity::default()),
         };
-        self.control.module().send(DecisionMessage::Request(Box::new(arrival)));
+        self.control.decision().send(DecisionMessage::Request(Box::new(arrival)));
     }
 
     /// A member replies.
     pub fn reply(&self, token: u64, reply: Reply) {
         let Some(waiting) = self.outstanding.waiting.borrow_mut().remove(&token) else { return };
-        self.outstanding.end(self.control.node(), self.control.module(), waiting, reply);
+        self.outstanding.end(self.control.node(), self.control.decision(), waiting, reply);
     }
 
     /// It stands still for so long.
