--- a/crates/driver/src/config.rs
+++ b/crates/driver/src/config.rs
@@ -146,7 +146,7 @@
             let number = self.peers.iter().position(|peer| Some(*peer) == self.peer_listen);
             let number = number.filter(|_| settings.limits.peer_messages).map(|n| n as u32);
             match beaconshore_operator::zone_policy(file, text, zones, &protocol.zone_names) {
-                Ok(policy) => plans.zones = Some(Policy { router_number, ..policy }),
+                Ok(policy) => plans.zones = Some(Policy { router_number: number, ..policy }),
                 Err(problem) => problems.push(problem),
             }
         }
