--- a/crates/driver/src/decision/message.rs
+++ b/crates/driver/src/decision/message.rs
@@ -108,7 +108,7 @@
 #[derive(Clone)]
 pub struct DecisionHandle {
     pub(super) mailbox: Sender<DecisionMessage>,
-    pub(super) lists: Sender<MembershipUpdate>,
+    pub(super) list_updates: Sender<MembershipUpdate>,
     pub(super) peer_messages: Sender<(u32, PeerMessage)>,
 }
 
@@ -132,7 +132,7 @@
     }
 
     /// Sends a membership list, which is handled before all other messages. Waits while the mailbox is full.
-    pub async fn send_list(&self, listing: MembershipUpdate) {
-        let _ = self.lists.send(listing).await;
+    pub async fn send_list(&self, update: MembershipUpdate) {
+        let _ = self.list_updates.send(update).await;
     }
 }
--- a/crates/driver/src/decision/mod.rs
+++ b/crates/driver/src/decision/mod.rs
@@ -58,7 +58,7 @@
     node: Rc<Node>,
     router: Steering,
     mailbox: Receiver<DecisionMessage>,
-    lists: Receiver<MembershipUpdate>,
+    list_updates: Receiver<MembershipUpdate>,
     /// Messages from other drivers, each with the number of the driver that sent it.
     peer_messages: Receiver<(u32, PeerMessage)>,
     handle: DecisionHandle,
@@ -89,11 +89,11 @@
         transport: Rc<dyn MemberTransport>,
     ) -> (Self, DecisionHandle) {
         let (mailbox_sender, mailbox) = async_channel::unbounded();
-        let (list_sender, lists) = async_channel::bounded(LIST_MAILBOX_CAPACITY);
+        let (list_sender, list_updates) = async_channel::bounded(LIST_MAILBOX_CAPACITY);
         let (peer_message_sender, peer_messages) = async_channel::bounded(PEER_MAILBOX_CAPACITY);
         let handle = DecisionHandle {
             mailbox: mailbox_sender,
-            lists: list_sender,
+            list_updates: list_sender,
             peer_messages: peer_message_sender,
         };
         let router = {
@@ -106,7 +106,7 @@
             node,
             router,
             mailbox,
-            lists,
+            list_updates,
             peer_messages,
             handle,
             peers,
@@ -131,8 +131,8 @@
             Timer,
         }
         self.on_list(ListKind::Cached, cached);
-        let (lists, mailbox, peer_messages) =
-            (self.lists.clone(), self.mailbox.clone(), self.peer_messages.clone());
+        let (list_updates, mailbox, peer_messages) =
+            (self.list_updates.clone(), self.mailbox.clone(), self.peer_messages.clone());
         let node = self.node.clone();
         let mut timer = Timer::never();
         let mut armed_at = None;
@@ -144,7 +144,7 @@
                     None => timer = Timer::never(),
                 }
             }
-            let list = async { lists.recv().await.map(Wake::List) };
+            let list = async { list_updates.recv().await.map(Wake::List) };
             let timer_due = async {
                 (&mut timer).await;
                 Ok(Wake::Timer)
@@ -156,9 +156,9 @@
             // until the mailbox is empty.
             match future::or(list, future::or(timer_due, future::or(next_message, peer_message))).await {
                 Err(_) => return,
-                Ok(Wake::List(listing)) => {
-                    let kind = if listing.reset { ListKind::Full } else { ListKind::Delta };
-                    node.meter.measure(Work::List, || self.on_list(kind, listing));
+                Ok(Wake::List(update)) => {
+                    let kind = if update.reset { ListKind::Full } else { ListKind::Delta };
+                    node.meter.measure(Work::List, || self.on_list(kind, update));
                 }
                 Ok(Wake::Message(message)) => node.meter.measure(Work::Traffic, || self.on_message(message)),
                 Ok(Wake::PeerMessage(from, message)) => {
@@ -221,13 +221,13 @@
     // ---- Turning messages into events ----
 
     /// Passes a membership list or a change of it to the decision module.
-    fn on_list(&mut self, kind: ListKind, listing: MembershipUpdate) {
+    fn on_list(&mut self, kind: ListKind, update: MembershipUpdate) {
         self.node.stats.count(Counter::ListUpdates);
         self.node.lists_applied.set(self.node.lists_applied.get() + 1);
         // An instance that is gone and was never known is skipped.
         let is_relevant =
             |i: &MemberEntry| i.lifecycle != Lifecycle::Gone || self.ids.contains_key(i.instance_id.as_str());
-        let instances: Vec<MemberEntry> = listing.instances.into_iter().filter(is_relevant).collect();
+        let instances: Vec<MemberEntry> = update.instances.into_iter().filter(is_relevant).collect();
         let entries: Vec<ListEntry> = instances.into_iter().map(|i| self.register_instance(i)).collect();
         self.handle(&Event::List(kind, &entries));
     }
