--- a/crates/driver/src/decision/mod.rs
+++ b/crates/driver/src/decision/mod.rs
@@ -366,18 +366,18 @@
             self.answer(request, Answer::Served(answer));
         }
         let finished = !self.requests.is_open(request);
-        let (mut note, mut report) = (self_report.note, self_report.report);
-        if let Some(at) = note.position.filter(|_| note.role == Some(Role::Primary)) {
+        let (mut status, mut report) = (self_report.status, self_report.report);
+        if let Some(at) = status.position.filter(|_| status.role == Some(Role::Primary)) {
             self.compare_clocks(at);
         }
-        for position in [&mut note.position, &mut report.position] {
+        for position in [&mut status.position, &mut report.position] {
             *position = position.map(|p| self.node.clock_skew.to_local(p));
         }
         self.handle(&Event::AttemptEnded(AttemptResult {
             request,
             member,
             outcome,
-            status: note,
+            status,
             duration,
             request_finished: finished,
             report,
--- a/crates/driver/src/member/self_report.rs
+++ b/crates/driver/src/member/self_report.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SelfReport {
     /// What came with an answer.
-    pub note: ReplyStatus,
+    pub status: ReplyStatus,
     /// What came in a load report.
     pub report: Report,
 }
@@ -23,20 +23,20 @@
         let Ok(value) = std::str::from_utf8(value) else { return };
         match name {
             b"replay_position" => {
-                self.note.position = value.parse::<Micros>().ok().and_then(|ms| ms.checked_mul(1000))
+                self.status.position = value.parse::<Micros>().ok().and_then(|ms| ms.checked_mul(1000))
             }
-            b"node_role" if value == LEADER => self.note.role = Some(Role::Primary),
-            b"node_role" if value == FOLLOWER => self.note.role = Some(Role::Replica),
+            b"node_role" if value == LEADER => self.status.role = Some(Role::Primary),
+            b"node_role" if value == FOLLOWER => self.status.role = Some(Role::Replica),
             b"server_load" => self.report = parse_load_report(value).unwrap_or_default(),
             _ => {}
         }
     }
 
-    /// What a probe found out, as a report. A note that came with the answer counts as a report of the time
+    /// What a probe found out, as a report. A status that came with the answer counts as a report of the time
     /// of its position.
     pub fn to_report(&self) -> Report {
-        let position = self.report.position.max(self.note.position);
-        Report { position, role: self.note.role.or(self.report.role), ..self.report }
+        let position = self.report.position.max(self.status.position);
+        Report { position, role: self.status.role.or(self.report.role), ..self.report }
     }
 }
 
--- a/crates/scale/src/hollow.rs
+++ b/crates/scale/src/hollow.rs
@@ -282,7 +282,7 @@
             Reply::Said(said) => {
                 let note = ReplyStatus { position: self.unix(said.note.position), ..said.note };
                 let report = Report { position: self.unix(said.report.position), ..said.report };
-                (said.outcome, SelfReport { note, report })
+                (said.outcome, SelfReport { status: note, report })
             }
             Reply::Probed(report) => {
                 let report = Report { position: self.unix(report.position), ..report };
