--- a/crates/emulator/src/audit.rs
+++ b/crates/emulator/src/audit.rs
@@ -136,7 +136,7 @@
         match listed {
             ListedState::Ready => drop(self.barred.remove(&(router, member))),
             ListedState::Draining | ListedState::Gone => {
-                drop(self.barred.entry((router, member)).or_insert(now))
+                self.barred.entry((router, member)).or_insert(now);
             }
         }
     }
