--- a/crates/routes/src/policy.rs
+++ b/crates/routes/src/policy.rs
@@ -211,9 +211,10 @@
             report(
                 "pause",
                 format!(
-                    "is from {} to {}; must ascend, from 1 ms or more to 600000 ms at most",
+                    "is from {} to {}; must ascend, from 1 ms or more to {} at most",
                     format_ms(backoff.min),
-                    format_ms(backoff.max)
+                    format_ms(backoff.max),
+                    format_ms(MAX_DURATION_US)
                 ),
             );
         }
